--- a/include/poplartrack/fleet/EngineProfile.h
+++ b/include/poplartrack/fleet/EngineProfile.h
@@ -16,7 +16,7 @@
   /** How many times as long as the reference a token step takes. */
   double stepFactor = 1;
   /** How many times as long as the reference reading a prompt takes. */
-  double readFactor = 1;
+  double prefillFactor = 1;
 };
 
 /** How the replicas of a model service compute; all figures are declared by
@@ -35,15 +35,15 @@
   double perRequestMs = 0;
   double contextMsPerK = 0;
   /** Prompt tokens read in a second. */
-  double readPerSecond = 1;
+  double prefillPerSecond = 1;
   /** Bytes that a token sends from one part of a path to the next. */
   double activationBytes = 0;
   /** The pipe between each two availability zones, in Mbit/s; all that passes
    * between them shares it. */
-  double pipeMbps = 0;
+  double linkMbps = 0;
   /** Mean tokens of a prompt and of an answer. */
-  double usualPrompt = 0;
-  double usualAnswer = 0;
+  double meanPromptTokens = 0;
+  double meanAnswerTokens = 0;
   /** Time to load all layers onto one replica. */
   Duration loadTime{ 0 };
   std::map<std::string, AcceleratorKind> kinds;
--- a/include/poplartrack/fleet/FleetPolls.h
+++ b/include/poplartrack/fleet/FleetPolls.h
@@ -43,7 +43,7 @@
   bool whole = false;
   std::vector<Replica> present;
   /** Names under which those were registered that were removed. */
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   /** Version of the latest change among these. */
   std::uint64_t changed = 0;
   std::uint64_t next = 0;
--- a/include/poplartrack/fleet/LayerPlanner.h
+++ b/include/poplartrack/fleet/LayerPlanner.h
@@ -73,12 +73,12 @@
    * The orders that are due now.
    *
    * @param aReplicas the service's replicas that live and stay
-   * @param aInDoubt whether a listed replica is missing that may be well
+   * @param aUncertain whether a listed replica is missing that may be well
    * @param aBusy replicas through which requests pass
    */
   std::vector<LayerOrder> plan(const EngineProfile& aProfile,
                                std::span<const Replica> aReplicas,
-                               bool aInDoubt,
+                               bool aUncertain,
                                const std::set<std::string>& aBusy,
                                TimePoint aNow);
   /** What the last plan left open. */
--- a/include/poplartrack/fleet/PipeBudget.h
+++ b/include/poplartrack/fleet/LinkBudget.h
@@ -11,7 +11,7 @@
 namespace poplartrack {
 
 /** Bytes that one relay has sent between zones since its start. */
-using PipeTotals = std::map<ZonePair, std::uint64_t>;
+using LinkTotals = std::map<ZonePair, std::uint64_t>;
 
 /**
  * What all relays send over the pipes between availability zones, as a bucket
@@ -30,7 +30,7 @@
  * A path may be taken while its bucket is not in debt, and is paid for in full:
  * one prompt may be larger than what gathers. Pure; not thread-safe.
  */
-class PipeBudget
+class LinkBudget
 {
 public:
   /** Sets the rate of each pipe; what is in the buckets stays, up to the new
@@ -45,12 +45,12 @@
   void take(const ZonePair& aZones, double aBytes, TimePoint aNow);
   /** What another relay has sent; counted from the first word of its life. */
   void onPeer(const std::string& aPeer,
-              const PipeTotals& aTotals,
+              const LinkTotals& aTotals,
               TimePoint aNow);
   /** Forgets a relay that is not heard any more. */
   void forget(const std::string& aPeer) { this->peers.erase(aPeer); }
   /** What this relay has sent. */
-  [[nodiscard]] const PipeTotals& own() const { return this->sent; }
+  [[nodiscard]] const LinkTotals& own() const { return this->sent; }
 
 private:
   struct Bucket
@@ -66,8 +66,8 @@
   double bytesPerSecond = 0;
   /** Those that are not full. */
   std::map<ZonePair, Bucket> buckets;
-  PipeTotals sent;
-  std::map<std::string, PipeTotals> peers;
+  LinkTotals sent;
+  std::map<std::string, LinkTotals> peers;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/fleet/LoadBook.h
+++ b/include/poplartrack/fleet/LoadTracker.h
@@ -18,9 +18,9 @@
   /** Memory that the requests are expected to take: tokens times layers. */
   double tokenLayers = 0;
   /** Prompt tokens that are being read: no event has come of them yet. */
-  double readingTokens = 0;
+  double prefillTokens = 0;
   /** Requests whose path begins here: each of them takes a slot. */
-  std::uint32_t entered = 0;
+  std::uint32_t pathStarts = 0;
 
   friend bool operator==(const ReplicaLoad&, const ReplicaLoad&) = default;
 };
@@ -33,7 +33,7 @@
  * what the other entries told last. Reports of replicas lag by some hundred ms
  * and cost a call each; this is neither. Not thread-safe.
  */
-class LoadBook
+class LoadTracker
 {
 public:
   /** Books a request of this many tokens on all parts of a path. */
@@ -41,8 +41,8 @@
   /** Takes back what add booked. */
   void remove(const LayerPath& aPath, double aTokens);
   /** Books a prompt that is being read on all parts of a path. */
-  void beginReading(const LayerPath& aPath, double aPrompt);
-  void endReading(const LayerPath& aPath, double aPrompt);
+  void beginPrefill(const LayerPath& aPath, double aPrompt);
+  void endPrefill(const LayerPath& aPath, double aPrompt);
 
   /** Replaces what another entry told. */
   void onPeer(const std::string& aPeer, LoadTable aTable, TimePoint aNow);
--- a/include/poplartrack/fleet/PathFinder.h
+++ b/include/poplartrack/fleet/PathFinder.h
@@ -11,7 +11,7 @@
 #include "poplartrack/base/Result.h"
 #include "poplartrack/fleet/EngineProfile.h"
 #include "poplartrack/fleet/LayerPath.h"
-#include "poplartrack/fleet/LoadBook.h"
+#include "poplartrack/fleet/LoadTracker.h"
 #include "poplartrack/fleet/Replica.h"
 
 namespace poplartrack {
@@ -45,7 +45,7 @@
   std::set<ZonePair> closed;
   /** Most times that the path may change zones, unless no path of these
    * replicas does with so few. */
-  std::uint32_t mostCrossings = std::numeric_limits<std::uint32_t>::max();
+  std::uint32_t maxCrossings = std::numeric_limits<std::uint32_t>::max();
   /** How long a prompt would stand before a pipe between two zones. */
   std::map<ZonePair, Duration> waits;
 };
--- a/include/poplartrack/fleet/RelayRoute.h
+++ b/include/poplartrack/fleet/RelayRoute.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "poplartrack/base/Clock.h"
-#include "poplartrack/fleet/RepeatRule.h"
+#include "poplartrack/fleet/RetryRule.h"
 
 namespace poplartrack {
 
@@ -24,7 +24,7 @@
   std::string host;
   /** Begins and ends with a slash; the longest that matches wins. */
   std::string prefix;
-  RepeatRule rule = RepeatRule::AtMostOnce;
+  RetryRule rule = RetryRule::AtMostOnce;
   /** Longest time that a caller is kept waiting. */
   Duration timeout{ 0 };
   /** Time to the answer, or to a stream's first event, that earns its full
--- a/include/poplartrack/fleet/Replica.h
+++ b/include/poplartrack/fleet/Replica.h
@@ -23,7 +23,7 @@
   std::string registeredAs;
   /** When it started, by its own clock, in ms since 1970; 0: it does not say.
    */
-  std::uint64_t born = 0;
+  std::uint64_t startedAtMs = 0;
   std::string service;
   Address address;
   std::string zone;
--- a/include/poplartrack/fleet/ReplicaHealth.h
+++ b/include/poplartrack/fleet/ReplicaHealth.h
@@ -38,7 +38,7 @@
 
 /** From this slowdown on, work goes round a replica where it can: a part of
  * five layers then takes as long as a whole fast copy. */
-constexpr double kCrippled = 2.5;
+constexpr double kDegradedSlowdown = 2.5;
 
 /**
  * What this process has learned about each replica from its own requests. The
@@ -69,7 +69,7 @@
   /** How many times as long as declared its work takes. */
   [[nodiscard]] double slowdown(const std::string& aReplica) const;
   /** Replicas so slow that work goes round them, with how slow they are. */
-  [[nodiscard]] std::map<std::string, double> crippled() const;
+  [[nodiscard]] std::map<std::string, double> degraded() const;
   /** Part of its latest answers that were errors, 0 to 1. */
   [[nodiscard]] double errorRate(const std::string& aReplica) const;
   /** Replicas that are taken to be dead. */
--- a/include/poplartrack/fleet/ReplicaLimits.h
+++ b/include/poplartrack/fleet/ReplicaLimits.h
@@ -13,16 +13,17 @@
 namespace poplartrack {
 
 /** A relay that may send requests to a replica that limits them. */
-struct LimitSharer
+struct RateLimitSharer
 {
   Address address;
   std::string zone;
 
-  friend bool operator==(const LimitSharer&, const LimitSharer&) = default;
+  friend bool operator==(const RateLimitSharer&,
+                         const RateLimitSharer&) = default;
 };
 
 /** What a replica's latest answer said of its limit. */
-struct LimitWord
+struct RateLimitReport
 {
   std::string replica;
   /** Requests a second from all relays; nothing: it limits them no more. */
@@ -47,17 +48,19 @@
 {
 public:
   /** This relay's own place. */
-  void setSelf(LimitSharer aSelf) { this->self = std::move(aSelf); }
+  void setSelf(RateLimitSharer aSelf) { this->self = std::move(aSelf); }
   /** The other relays that are heard, and how many there are, this one
    * included; the part of those that are not heard is left to them. */
-  void setOthers(std::vector<LimitSharer> aHeard, std::size_t aKnown);
+  void setOthers(std::vector<RateLimitSharer> aHeard, std::size_t aKnown);
   /** An answer to this relay named a limit, or none; true when that is new. */
   bool onAnswer(const std::string& aReplica,
                 const std::string& aZone,
                 std::optional<double> aPerSecond,
                 TimePoint aNow);
   /** Another relay tells what an answer said. */
-  void onPeer(const LimitWord& aWord, const std::string& aZone, TimePoint aNow);
+  void onPeer(const RateLimitReport& aReport,
+              const std::string& aZone,
+              TimePoint aNow);
   /** A request goes there. */
   void onSent(const std::string& aReplica, TimePoint aNow);
   /** Drops replicas that are no longer listed, and limits long over. */
@@ -70,7 +73,7 @@
   [[nodiscard]] bool limited(const std::string& aReplica) const;
   [[nodiscard]] std::size_t limitedCount() const;
   /** What answers to this relay said, for the others. */
-  [[nodiscard]] std::vector<LimitWord> own(TimePoint aNow) const;
+  [[nodiscard]] std::vector<RateLimitReport> own(TimePoint aNow) const;
 
 private:
   struct Limit
@@ -78,7 +81,7 @@
     std::string zone;
     std::optional<double> perSecond;
     TimePoint saidAt;
-    bool heardHere = false;
+    bool fromOwnAnswer = false;
     /** This relay's place among all that take turns. */
     std::size_t position = 0;
     /** Requests that it may send, as of earnedAt. */
@@ -93,8 +96,8 @@
   void earn(Limit& aLimit, TimePoint aNow) const;
   void place(const std::string& aReplica, Limit& aLimit) const;
 
-  LimitSharer self;
-  std::vector<LimitSharer> others;
+  RateLimitSharer self;
+  std::vector<RateLimitSharer> others;
   std::size_t known = 1;
   std::map<std::string, Limit> limits;
 };
--- a/include/poplartrack/fleet/ListNews.h
+++ b/include/poplartrack/fleet/ReplicaListDelta.h
@@ -12,7 +12,7 @@
 
 /** What changed in the replicas' list between two versions, passed from a relay
  * that looked at the store to those that did not. */
-struct ListNews
+struct ReplicaListDelta
 {
   /** It holds every change after this version. */
   std::uint64_t after = 0;
@@ -20,18 +20,18 @@
 };
 
 /** News that wait for the thread that keeps the list. Thread-safe. */
-class ListInbox
+class ReplicaListInbox
 {
 public:
-  void push(ListNews aNews)
+  void push(ReplicaListDelta aDelta)
   {
     const std::scoped_lock lock{ this->guard };
     // What is left out is read from the store: later words tell its version.
     if (this->waiting.size() < kMost) {
-      this->waiting.push_back(std::move(aNews));
+      this->waiting.push_back(std::move(aDelta));
     }
   }
-  std::vector<ListNews> take()
+  std::vector<ReplicaListDelta> take()
   {
     const std::scoped_lock lock{ this->guard };
     return std::exchange(this->waiting, {});
@@ -41,7 +41,7 @@
   static constexpr std::size_t kMost = 64;
 
   std::mutex guard;
-  std::vector<ListNews> waiting;
+  std::vector<ReplicaListDelta> waiting;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/fleet/RepeatRule.h
+++ b/include/poplartrack/fleet/RetryRule.h
@@ -9,7 +9,7 @@
 
 /** What a route allows after an attempt of which it is not known whether it
  * ran. */
-enum class RepeatRule : std::uint8_t
+enum class RetryRule : std::uint8_t
 {
   /** May run more than once. */
   Idempotent,
@@ -20,15 +20,15 @@
   Stream,
 };
 
-constexpr std::array<std::string_view, 3> kRepeatRuleNames{ "idempotent",
-                                                            "at_most_once",
-                                                            "stream" };
+constexpr std::array<std::string_view, 3> kRetryRuleNames{ "idempotent",
+                                                           "at_most_once",
+                                                           "stream" };
 
 /** The rule's name in logs and metrics. */
 constexpr std::string_view
-nameOf(RepeatRule aRule)
+nameOf(RetryRule aRule)
 {
-  return kRepeatRuleNames[static_cast<std::size_t>(aRule)];
+  return kRetryRuleNames[static_cast<std::size_t>(aRule)];
 }
 
 } // namespace poplartrack
--- a/include/poplartrack/fleet/StorePace.h
+++ b/include/poplartrack/fleet/StorePollSchedule.h
@@ -11,7 +11,7 @@
  * and what one relay learns it tells the others, so the more relays are heard
  * the less each asks. Pure: draws come from the caller, in [0, 1).
  */
-class StorePace
+class StorePollSchedule
 {
 public:
   /** Longest time for a read beside a look that hangs. Slow stores were
@@ -19,7 +19,7 @@
   static constexpr Duration kProofRead = std::chrono::milliseconds{ 600 };
 
   /** aHeard: how many other relays are heard. */
-  explicit StorePace(std::size_t aHeard)
+  explicit StorePollSchedule(std::size_t aHeard)
     : heard(aHeard)
   {
   }
--- a/include/poplartrack/fleet/StoreReaders.h
+++ b/include/poplartrack/fleet/StoreReaders.h
@@ -14,9 +14,9 @@
   Address address;
   std::string zone;
   /** It looks at the store. */
-  bool looks = false;
+  bool polls = false;
   /** Its latest look failed. */
-  bool fails = false;
+  bool pollsFail = false;
 };
 
 /** Relays of each availability zone that look at the store for the others. Two,
@@ -34,10 +34,10 @@
  * @param aHeard the others that are heard, of all zones
  */
 bool
-shallLook(const StoreReader& aOwn, std::span<const StoreReader> aHeard);
+shouldPoll(const StoreReader& aOwn, std::span<const StoreReader> aHeard);
 
 /** Whether the store is away for all: every relay that looks says so. */
 bool
-storeIsAway(std::span<const StoreReader> aHeard);
+storeIsUnavailable(std::span<const StoreReader> aHeard);
 
 } // namespace poplartrack
--- a/include/poplartrack/fleet/WaitingLine.h
+++ b/include/poplartrack/fleet/WaitQueue.h
@@ -38,7 +38,7 @@
  * whenever they begin, get what is left: on time an answer is worth four times
  * as much. Pure; not thread-safe.
  */
-class WaitingLine
+class WaitQueue
 {
 public:
   /** A request that is in the line already keeps its place. */
--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -19,8 +19,8 @@
 
 /** Longest time for a read beside a look that hangs. It must end, in an answer
  * or an error, before the age at which a configuration is not used any more
- * without an error of the store: StorePace asks that much sooner. */
-constexpr Duration kCatchUpRead = StorePace::kProofRead;
+ * without an error of the store: StorePollSchedule asks that much sooner. */
+constexpr Duration kCatchUpRead = StorePollSchedule::kProofRead;
 
 } // namespace fleet_control
 
@@ -29,7 +29,7 @@
  * those who look in the next one do, and tell. */
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::behindPatience() const
+FleetControl<Store>::catchUpDelay() const
 {
   return fleet_control::kBehind + this->gatherPause();
 }
@@ -43,7 +43,7 @@
 {
   const TimePoint now = this->clock.now();
   const auto config = this->shared.config.read();
-  const std::uint64_t heard = this->shared.configHeard;
+  const std::uint64_t heard = this->shared.peerConfigVersion;
   if (config == nullptr || heard <= config->version) {
     this->configBehind.reset();
   } else if (!this->configBehind) {
@@ -51,19 +51,20 @@
   }
   const bool behind =
     this->configBehind && now - *this->configBehind >= fleet_control::kBehind;
-  const TimePoint outage{ Duration{ this->shared.outageHeard.load() } };
+  const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
   const bool away = now - outage < fleet_control::kOutageLasts;
-  if (!this->shared.looks) {
+  if (!this->shared.polls) {
     // What those that look learn of the store holds for this relay too: nobody
     // else need ask a store that is away.
     this->configReachable = !away;
     this->shared.storeFails = away;
   }
   // A thread whose look has failed asks again by itself.
-  const bool proofOld = config != nullptr && this->configReachable &&
-                        StorePace::wantsProof(this->shared.freshness.age(),
-                                              now - this->proofAsked,
-                                              this->settings.configDeadline);
+  const bool proofOld =
+    config != nullptr && this->configReachable &&
+    StorePollSchedule::wantsProof(this->shared.freshness.age(),
+                                  now - this->proofAsked,
+                                  this->settings.configDeadline);
   if (!this->leaving && (behind || proofOld)) {
     this->configBehind.reset();
     this->proofAsked = now;
@@ -78,13 +79,13 @@
 FleetControl<Store>::catchUpReplicas()
 {
   const TimePoint now = this->clock.now();
-  const std::uint64_t heard = this->shared.listHeard;
+  const std::uint64_t heard = this->shared.peerListVersion;
   if (heard <= this->shared.replicas.read()->changed ||
       heard <= this->listCaughtUp) {
     this->listBehind.reset();
   } else if (!this->listBehind) {
     this->listBehind = now;
-  } else if (now - *this->listBehind >= this->behindPatience()) {
+  } else if (now - *this->listBehind >= this->catchUpDelay()) {
     this->listBehind.reset();
     const Result<ReplicaPoll> poll =
       this->store.readReplicas(fleet_control::kCatchUpRead);
--- a/include/poplartrack/relay/FleetControl.h
+++ b/include/poplartrack/relay/FleetControl.h
@@ -12,8 +12,8 @@
 #include "poplartrack/base/PeriodicThread.h"
 #include "poplartrack/fleet/FleetPolls.h"
 #include "poplartrack/fleet/ReplicaList.h"
-#include "poplartrack/fleet/StorePace.h"
-#include "poplartrack/relay/PlacementDuty.h"
+#include "poplartrack/fleet/StorePollSchedule.h"
+#include "poplartrack/relay/PlacementController.h"
 #include "poplartrack/relay/QuarantineRows.h"
 #include "poplartrack/relay/RelayDirectory.h"
 #include "poplartrack/relay/RelaySettings.h"
@@ -65,8 +65,8 @@
 private:
   Duration followConfig();
   Duration followReplicas();
-  Duration hearReplicas();
-  Duration duty();
+  Duration applyPeerDeltas();
+  Duration runLease();
   Duration place();
   void onConfig(const ConfigPoll& aPoll);
   void onConfigAnswer(const Result<ConfigPoll>& aPoll);
@@ -79,9 +79,9 @@
   void logUnreadable(const std::vector<UnreadableEntry>& aEntries);
   void dropLapsed();
   void pollLease();
-  [[nodiscard]] StorePace pace() const;
+  [[nodiscard]] StorePollSchedule pace() const;
   [[nodiscard]] Duration gatherPause() const;
-  [[nodiscard]] Duration behindPatience() const;
+  [[nodiscard]] Duration catchUpDelay() const;
 
   RelaySettings settings;
   RelayShared& shared;
@@ -95,7 +95,7 @@
   TimePoint outageSeen{};
   bool outageOpen = false;
   /** When the latest look at the list ended. */
-  TimePoint lookedAt{};
+  TimePoint polledAt{};
   bool replicasStarted = false;
   /** Two threads may bring answers of the store. */
   std::mutex configGuard;
@@ -108,7 +108,7 @@
   std::optional<TimePoint> configBehind;
   std::optional<TimePoint> listBehind;
   std::uint64_t listCaughtUp = 0;
-  TimePoint leaseLooked{};
+  TimePoint leasePolledAt{};
   /** When the configuration was read last beside the look that is under way. */
   TimePoint proofAsked{};
   std::atomic<bool> configReachable{ true };
@@ -117,7 +117,7 @@
   int replicasFailures = 0;
   std::atomic<bool> replicasReachable{ true };
 
-  PlacementDuty placement;
+  PlacementController placement;
   RelayDirectory<Store> directory;
   QuarantineRows<Store> quarantine;
   /** The lease under which layers are placed; 0: none. */
@@ -129,7 +129,7 @@
   PeriodicThread replicasThread;
   PeriodicThread configCatchUpThread;
   PeriodicThread replicasCatchUpThread;
-  PeriodicThread dutyThread;
+  PeriodicThread leaseThread;
   PeriodicThread placeThread;
 };
 
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -12,7 +12,7 @@
 /** A leader that was heard this lately renews its lease: nobody else looks at
  * the row, but for now and then. */
 constexpr Duration kLeaderSilence = std::chrono::milliseconds{ 1'000 };
-constexpr Duration kLeaseLook = std::chrono::seconds{ 20 };
+constexpr Duration kLeasePollInterval = std::chrono::seconds{ 20 };
 
 /** Longest time for a whole read where nothing is known yet. Slow stores were
  * declared to take 300 ms. */
@@ -28,7 +28,7 @@
 constexpr Duration kFailureCounts = std::chrono::seconds{ 5 };
 
 /** Pause between two rounds of duties. */
-constexpr Duration kDutyPause = std::chrono::milliseconds{ 250 };
+constexpr Duration kLeaseThreadPause = std::chrono::milliseconds{ 250 };
 
 /** Pause between two looks at what is held: a lost part is noticed by the
  * streams through it after some 300 ms, and should not wait for long then. */
@@ -53,7 +53,7 @@
   // others look only while the holder is not heard.
   lease.duration = std::chrono::milliseconds{ 2'000 };
   lease.renewEvery = std::chrono::milliseconds{ 700 };
-  lease.lookEvery = std::chrono::milliseconds{ 700 };
+  lease.pollInterval = std::chrono::milliseconds{ 700 };
   lease.margin = std::chrono::milliseconds{ 200 };
   return lease;
 }
@@ -76,7 +76,7 @@
   , replicasThread([this] { return this->followReplicas(); })
   , configCatchUpThread([this] { return this->catchUpConfig(); })
   , replicasCatchUpThread([this] { return this->catchUpReplicas(); })
-  , dutyThread([this] { return this->duty(); })
+  , leaseThread([this] { return this->runLease(); })
   , placeThread([this] { return this->place(); })
 {
 }
@@ -88,8 +88,8 @@
   this->leaving = true;
   // Told for the whole grace time, "leads" kept every other relay from looking
   // at a lease that had been given back: nobody placed anything for 9 s.
-  this->shared.leads = false;
-  this->shared.fenceGivenUp = this->leading.exchange(0);
+  this->shared.holdsLease = false;
+  this->shared.releasedFence = this->leading.exchange(0);
   this->lease.release();
 }
 
@@ -112,17 +112,18 @@
 }
 
 template<FleetStoreLike Store>
-StorePace
+StorePollSchedule
 FleetControl<Store>::pace() const
 {
-  return StorePace{ this->shared.readersHeard };
+  return StorePollSchedule{ this->shared.storeReaders };
 }
 
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::gatherPause() const
 {
-  return StorePace::gatherPause(this->shared.called || this->leading != 0);
+  return StorePollSchedule::gatherPause(this->shared.called ||
+                                        this->leading != 0);
 }
 
 template<FleetStoreLike Store>
@@ -130,7 +131,7 @@
 FleetControl<Store>::followConfig()
 {
   const bool known = this->shared.config.read() != nullptr;
-  if (known && !this->shared.looks) {
+  if (known && !this->shared.polls) {
     return fleet_control::kHearPause;
   }
   const Result<ConfigPoll> poll =
@@ -226,8 +227,8 @@
     const std::scoped_lock lock{ this->listGuard };
     after = this->list.known();
   }
-  if (after > 0 && !this->shared.looks) {
-    return this->hearReplicas();
+  if (after > 0 && !this->shared.polls) {
+    return this->applyPeerDeltas();
   }
   const Result<ReplicaPoll> poll =
     this->replicasStarted
@@ -237,8 +238,8 @@
       : this->store.readReplicas(fleet_control::kFirstRead);
   const TimePoint now = this->clock.now();
   const std::scoped_lock lock{ this->listGuard };
-  this->shared.looksFail = !poll && poll.error().kind != ErrorKind::NotFound;
-  this->lookedAt = now;
+  this->shared.pollsFail = !poll && poll.error().kind != ErrorKind::NotFound;
+  this->polledAt = now;
   if (!poll) {
     const bool read = std::exchange(this->replicasStarted, false);
     if (poll.error().kind == ErrorKind::NotFound && read) {
@@ -258,9 +259,10 @@
   this->replicasStarted = true;
   this->shared.listInbox.take();
   this->onReplicas(poll.value(), now);
-  const bool quiet = poll.value().present.empty() && poll.value().gone.empty();
-  if (!quiet && !poll.value().whole && this->shared.tellList) {
-    this->shared.tellList(ListNews{ after, poll.value() });
+  const bool quiet =
+    poll.value().present.empty() && poll.value().removed.empty();
+  if (!quiet && !poll.value().whole && this->shared.sendListDelta) {
+    this->shared.sendListDelta(ReplicaListDelta{ after, poll.value() });
   }
   return quiet ? Duration{ 0 } : this->gatherPause();
 }
@@ -270,14 +272,14 @@
  * of for a while. */
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::hearReplicas()
+FleetControl<Store>::applyPeerDeltas()
 {
   const TimePoint now = this->clock.now();
   const std::scoped_lock lock{ this->listGuard };
-  if (now - this->lookedAt >= fleet_control::kFailureCounts) {
-    this->shared.looksFail = false;
+  if (now - this->polledAt >= fleet_control::kFailureCounts) {
+    this->shared.pollsFail = false;
   }
-  const TimePoint outage{ Duration{ this->shared.outageHeard.load() } };
+  const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
   if (outage > this->outageSeen) {
     // Entries lapse while the store is away: what vanishes now may come back.
     this->outageSeen = outage;
@@ -290,10 +292,10 @@
     nothing.next = this->list.known();
     this->list.onPoll(nothing, now);
   }
-  for (const ListNews& news : this->shared.listInbox.take()) {
-    const bool joins = news.after <= this->list.known();
-    if (joins && news.poll.next > this->list.known()) {
-      this->onReplicas(news.poll, now);
+  for (const ReplicaListDelta& delta : this->shared.listInbox.take()) {
+    const bool joins = delta.after <= this->list.known();
+    if (joins && delta.poll.next > this->list.known()) {
+      this->onReplicas(delta.poll, now);
     }
   }
   return fleet_control::kHearPause;
@@ -308,14 +310,14 @@
   this->list.onPoll(aPoll, aNow);
   const bool expired = this->list.expire(aNow);
   this->uncertain = this->list.uncertain();
-  const bool changed = !aPoll.present.empty() || !aPoll.gone.empty() ||
+  const bool changed = !aPoll.present.empty() || !aPoll.removed.empty() ||
                        !aPoll.unreadable.empty() || aPoll.whole;
   if (changed) {
     this->shared.log.write(
       LogLine{ LogPart::Replicas, "listed" }
         .with("version", static_cast<std::int64_t>(aPoll.next))
         .with("changed", static_cast<std::int64_t>(aPoll.present.size()))
-        .with("gone", static_cast<std::int64_t>(aPoll.gone.size()))
+        .with("gone", static_cast<std::int64_t>(aPoll.removed.size()))
         .with("all", static_cast<std::int64_t>(this->list.size())));
   }
   if (changed || expired) {
@@ -349,20 +351,20 @@
 FleetControl<Store>::pollLease()
 {
   const TimePoint now = this->clock.now();
-  const TimePoint heard{ Duration{ this->shared.leaderHeard.load() } };
+  const TimePoint heard{ Duration{ this->shared.leaderSeenAt.load() } };
   const bool led = now - heard < fleet_control::kLeaderSilence;
   // The two other threads look again soon; asked by each relay too, the lease
   // was 200 calls for nothing in 8 s without the store, 24 relays.
   const bool away = !this->configReachable && !this->replicasReachable;
-  if ((away || !this->shared.looks) && this->leading == 0) {
+  if ((away || !this->shared.polls) && this->leading == 0) {
     return;
   }
   if (led && this->leading == 0 &&
-      now - this->leaseLooked < fleet_control::kLeaseLook) {
+      now - this->leasePolledAt < fleet_control::kLeasePollInterval) {
     return;
   }
-  this->lease.onFreed(this->shared.fenceFreed);
-  this->leaseLooked = now;
+  this->lease.onFreed(this->shared.peerReleasedFence);
+  this->leasePolledAt = now;
   this->lease.poll();
 }
 
@@ -382,7 +384,7 @@
 
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::duty()
+FleetControl<Store>::runLease()
 {
   if (!this->leaving) {
     this->dropLapsed();
@@ -390,7 +392,7 @@
     this->directory.refresh(this->clock.now());
     this->quarantine.refresh(this->clock.now());
   }
-  return fleet_control::kDutyPause;
+  return fleet_control::kLeaseThreadPause;
 }
 
 /** Places layers while the lease is held; tells the others when it no longer
@@ -402,7 +404,7 @@
 FleetControl<Store>::place()
 {
   if (this->leaving) {
-    this->shared.leads = false;
+    this->shared.holdsLease = false;
     return fleet_control::kPlacePause;
   }
   const std::optional<HeldLease> held = this->lease.held();
@@ -412,14 +414,14 @@
       this->shared.log.write(LogLine{ LogPart::Lease, "taken" }.with(
         "fence", static_cast<std::int64_t>(held->fence)));
     }
-    this->shared.leads = true;
+    this->shared.holdsLease = true;
     this->placement.run(held->fence, this->clock.now());
     return fleet_control::kPlacePause;
   }
-  this->shared.leads = false;
+  this->shared.holdsLease = false;
   const std::uint64_t lost = this->leading.exchange(0);
   if (lost != 0) {
-    this->shared.fenceGivenUp = this->lease.giveUp().value_or(lost);
+    this->shared.releasedFence = this->lease.giveUp().value_or(lost);
     this->shared.metrics.set("placement_lease_held", 0);
     this->shared.log.write(LogLine{ LogPart::Lease, "lost" }.with(
       "fence", static_cast<std::int64_t>(lost)));
--- a/include/poplartrack/relay/PlacementDuty.h
+++ b/include/poplartrack/relay/PlacementController.h
@@ -22,10 +22,10 @@
 /** What the holder of the placement lease does: looks which layers are held and
  * gives the orders that are due. One thread calls run(); answers to orders may
  * come on others. */
-class PlacementDuty
+class PlacementController
 {
 public:
-  PlacementDuty(RelayShared& aShared, PlaceOrder aPlace);
+  PlacementController(RelayShared& aShared, PlaceOrder aPlace);
 
   /** One look, under the lease with this fencing number. */
   void run(std::uint64_t aFence, TimePoint aNow);
--- a/include/poplartrack/relay/QuarantineRows.h
+++ b/include/poplartrack/relay/QuarantineRows.h
@@ -65,10 +65,10 @@
 
   [[nodiscard]] bool wantsRead(TimePoint aNow)
   {
-    if (this->shared.readersHeard > 0 || this->shared.peers.read()->empty()) {
+    if (this->shared.storeReaders > 0 || this->shared.peers.read()->empty()) {
       this->heardAt = aNow;
     }
-    if (!this->shared.looks || aNow - this->startedAt < kSettle) {
+    if (!this->shared.polls || aNow - this->startedAt < kSettle) {
       return false;
     }
     const bool alone = aNow - this->heardAt >= kAlone;
@@ -134,7 +134,7 @@
     present.insert(record.request);
     Kept& row = this->kept[record.request];
     row.seen = true;
-    if (!row.stored && (record.own || this->shared.leads)) {
+    if (!row.stored && (record.own || this->shared.holdsLease)) {
       const Result<std::vector<std::uint64_t>> written = this->store.transact(
         { TableWrite{ kTable, toText(record.request), 0, std::string{} } });
       // In a conflict another relay was first.
@@ -147,7 +147,7 @@
     if (!row.seen || present.contains(request)) {
       return false;
     }
-    const bool mine = row.stored || this->shared.leads;
+    const bool mine = row.stored || this->shared.holdsLease;
     const bool gone = !mine || this->remove(toText(request));
     done = done && gone;
     return gone;
--- a/include/poplartrack/relay/RelayDirectory.h
+++ b/include/poplartrack/relay/RelayDirectory.h
@@ -37,7 +37,7 @@
     if (!this->joined) {
       this->join();
     }
-    const Duration pause = this->shared.looks ? kReadPause : kReadPauseOthers;
+    const Duration pause = this->shared.polls ? kReadPause : kReadPauseOthers;
     if (!this->listed || aNow - this->readAt >= pause) {
       this->read(aNow);
     }
--- a/include/poplartrack/relay/RelayLoop.h
+++ b/include/poplartrack/relay/RelayLoop.h
@@ -14,7 +14,7 @@
 /**
  * The thread that forwards requests: callers' connections, connections to
  * replicas and the datagrams between relays, on one epoll instance. Decisions
- * are made by RequestGate, PathFinder, ReplicaHealth, LoadBook and
+ * are made by RequestGate, PathFinder, ReplicaHealth, LoadTracker and
  * RetryBudget; here they meet sockets.
  */
 class RelayLoop
--- a/include/poplartrack/relay/RelayShared.h
+++ b/include/poplartrack/relay/RelayShared.h
@@ -11,8 +11,8 @@
 #include "poplartrack/base/Address.h"
 #include "poplartrack/base/RcuBox.h"
 #include "poplartrack/fleet/Freshness.h"
-#include "poplartrack/fleet/ListNews.h"
 #include "poplartrack/fleet/RelayConfig.h"
+#include "poplartrack/fleet/ReplicaListDelta.h"
 #include "poplartrack/fleet/ReplicaView.h"
 #include "poplartrack/observe/EventLog.h"
 #include "poplartrack/observe/Metrics.h"
@@ -64,36 +64,36 @@
   /** A request has come since the start. */
   std::atomic<bool> called{ false };
   /** This relay holds the placement lease. */
-  std::atomic<bool> leads{ false };
+  std::atomic<bool> holdsLease{ false };
   /** When a relay was last heard that holds it, in microseconds of the clock;
    * 0: never. */
-  std::atomic<std::int64_t> leaderHeard{ 0 };
+  std::atomic<std::int64_t> leaderSeenAt{ 0 };
   /** Fencing number of the lease that this relay held and gave up; 0: none. */
-  std::atomic<std::uint64_t> fenceGivenUp{ 0 };
+  std::atomic<std::uint64_t> releasedFence{ 0 };
   /** The highest of which another relay told so. */
-  std::atomic<std::uint64_t> fenceFreed{ 0 };
+  std::atomic<std::uint64_t> peerReleasedFence{ 0 };
   /** Relays that are heard and look at the store, without this one. */
-  std::atomic<std::size_t> readersHeard{ 0 };
+  std::atomic<std::size_t> storeReaders{ 0 };
   /** Newest configuration of which another relay spoke. */
-  std::atomic<std::uint64_t> configHeard{ 0 };
+  std::atomic<std::uint64_t> peerConfigVersion{ 0 };
   /** Newest change of the replicas' list of which another relay spoke. */
-  std::atomic<std::uint64_t> listHeard{ 0 };
+  std::atomic<std::uint64_t> peerListVersion{ 0 };
   /** The balancer has had its time to notice: what still comes, on
    * connections that were kept open, is refused at once. Taken in, a stream
    * would be cut by the end of the grace time. */
   std::atomic<bool> refusing{ false };
   /** This relay looks at the store; else others do and tell. */
-  std::atomic<bool> looks{ true };
+  std::atomic<bool> polls{ true };
   /** Its latest look at the list of replicas failed. */
-  std::atomic<bool> looksFail{ false };
+  std::atomic<bool> pollsFail{ false };
   /** When all relays that look last said that the store is away, in
    * microseconds of the clock; 0: never. */
-  std::atomic<std::int64_t> outageHeard{ 0 };
+  std::atomic<std::int64_t> peersSawOutageAt{ 0 };
   /** Tells the relays of the zone what a look at the list brought; empty where
    * there is nobody to tell. */
-  std::function<void(const ListNews&)> tellList;
+  std::function<void(const ReplicaListDelta&)> sendListDelta;
   /** What others told of the list. */
-  ListInbox listInbox;
+  ReplicaListInbox listInbox;
   Metrics metrics;
   EventLog log;
 };
--- a/include/poplartrack/relay/ReplicaCalls.h
+++ b/include/poplartrack/relay/ReplicaCalls.h
@@ -15,7 +15,7 @@
 {
   std::string requestId;
   /** The replica that it waits for. */
-  Address culprit;
+  Address blockedOn;
 };
 
 /** What a replica said when it was asked how it does. */
@@ -23,7 +23,7 @@
 {
   bool reached = false;
   /** When it started, in ms since 1970; 0: it does not say. */
-  std::uint64_t born = 0;
+  std::uint64_t startedAtMs = 0;
   /** How many times as long as declared its work takes. */
   double pace = 1;
   std::vector<StalledWork> stalled;
--- a/include/poplartrack/store/LeaseState.h
+++ b/include/poplartrack/store/LeaseState.h
@@ -23,7 +23,7 @@
   /** The holder renews this often. */
   Duration renewEvery = std::chrono::seconds{ 3 };
   /** The others look this often. */
-  Duration lookEvery = std::chrono::milliseconds{ 4'500 };
+  Duration pollInterval = std::chrono::milliseconds{ 4'500 };
   /** The holder stops this long before the lease's end: room for clocks that
    * run at different speeds. */
   Duration margin = std::chrono::milliseconds{ 900 };
--- a/src/fleet/LayerCopy.h
+++ b/src/fleet/LayerCopy.h
@@ -22,7 +22,8 @@
 inline double
 tokenGoal(const EngineProfile& aProfile)
 {
-  return aProfile.slots * (aProfile.usualPrompt + aProfile.usualAnswer);
+  return aProfile.slots *
+         (aProfile.meanPromptTokens + aProfile.meanAnswerTokens);
 }
 
 /** The replica's accelerator, or null when its kind is not declared. */
--- a/src/fleet/LayerCut.cpp
+++ b/src/fleet/LayerCut.cpp
@@ -99,7 +99,8 @@
                  const std::vector<std::uint32_t>& aCounts,
                  double aTokens)
 {
-  const double perRequest = aProfile.usualPrompt + aProfile.usualAnswer;
+  const double perRequest =
+    aProfile.meanPromptTokens + aProfile.meanAnswerTokens;
   const double requests = aTokens / std::max(perRequest, 1.0);
   constexpr double kTokensPerK = 1000;
   const double passMs =
@@ -110,7 +111,7 @@
   for (std::size_t i = 0; i < aReplicas.size(); ++i) {
     slowness += aReplicas[i]->stepFactor * aCounts[i] / aProfile.layers;
   }
-  const double answerMs = passMs * slowness * aProfile.usualAnswer;
+  const double answerMs = passMs * slowness * aProfile.meanAnswerTokens;
   constexpr double kMsPerSecond = 1000;
   return answerMs > 0 ? kMsPerSecond * requests / answerMs : 0;
 }
--- a/src/fleet/LayerPlanner.cpp
+++ b/src/fleet/LayerPlanner.cpp
@@ -208,13 +208,13 @@
 std::vector<LayerOrder>
 LayerPlanner::plan(const EngineProfile& aProfile,
                    std::span<const Replica> aReplicas,
-                   bool aInDoubt,
+                   bool aUncertain,
                    const std::set<std::string>& aBusy,
                    TimePoint aNow)
 {
   this->now = aNow;
   this->patience =
-    aInDoubt ? this->policy.doubtPatience : this->policy.gapPatience;
+    aUncertain ? this->policy.doubtPatience : this->policy.gapPatience;
   this->orders.clear();
   this->openGaps.clear();
   const bool ready = this->settled(aReplicas, aNow);
--- a/src/fleet/PipeBudget.cpp
+++ b/src/fleet/LinkBudget.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/PipeBudget.h"
+#include "poplartrack/fleet/LinkBudget.h"
 
 #include <algorithm>
 
@@ -13,19 +13,19 @@
 } // namespace
 
 double
-PipeBudget::depth() const
+LinkBudget::depth() const
 {
   return kDepthSeconds * this->bytesPerSecond;
 }
 
 void
-PipeBudget::setRate(double aBytesPerSecond)
+LinkBudget::setRate(double aBytesPerSecond)
 {
   this->bytesPerSecond = aBytesPerSecond;
 }
 
 void
-PipeBudget::refill(Bucket& aBucket, TimePoint aNow) const
+LinkBudget::refill(Bucket& aBucket, TimePoint aNow) const
 {
   const Duration since = std::max(aNow - aBucket.last, Duration{ 0 });
   const double passed = std::chrono::duration<double>(since).count();
@@ -35,7 +35,7 @@
 }
 
 std::set<ZonePair>
-PipeBudget::closed(TimePoint aNow)
+LinkBudget::closed(TimePoint aNow)
 {
   std::set<ZonePair> pairs;
   for (auto& [zones, bucket] : this->buckets) {
@@ -51,7 +51,7 @@
 }
 
 std::map<ZonePair, Duration>
-PipeBudget::waits(TimePoint aNow)
+LinkBudget::waits(TimePoint aNow)
 {
   std::map<ZonePair, Duration> waits;
   for (auto& [zones, bucket] : this->buckets) {
@@ -68,15 +68,15 @@
 }
 
 void
-PipeBudget::take(const ZonePair& aZones, double aBytes, TimePoint aNow)
+LinkBudget::take(const ZonePair& aZones, double aBytes, TimePoint aNow)
 {
   this->sent[aZones] += static_cast<std::uint64_t>(aBytes);
   this->charge(aZones, aBytes, aNow);
 }
 
 void
-PipeBudget::onPeer(const std::string& aPeer,
-                   const PipeTotals& aTotals,
+LinkBudget::onPeer(const std::string& aPeer,
+                   const LinkTotals& aTotals,
                    TimePoint aNow)
 {
   const auto known = this->peers.find(aPeer);
@@ -95,7 +95,7 @@
 }
 
 void
-PipeBudget::charge(const ZonePair& aZones, double aBytes, TimePoint aNow)
+LinkBudget::charge(const ZonePair& aZones, double aBytes, TimePoint aNow)
 {
   Bucket& bucket =
     this->buckets.try_emplace(aZones, Bucket{ this->depth(), aNow })
--- a/src/fleet/LoadBook.cpp
+++ b/src/fleet/LoadTracker.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/LoadBook.h"
+#include "poplartrack/fleet/LoadTracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -14,7 +14,7 @@
 } // namespace
 
 void
-LoadBook::add(const LayerPath& aPath, double aTokens)
+LoadTracker::add(const LayerPath& aPath, double aTokens)
 {
   for (const PathPart& part : aPath.parts) {
     ReplicaLoad& load = this->mine[part.replica];
@@ -22,12 +22,12 @@
     load.tokenLayers += aTokens * part.layers.size();
   }
   if (!aPath.parts.empty()) {
-    ++this->mine[aPath.parts.front().replica].entered;
+    ++this->mine[aPath.parts.front().replica].pathStarts;
   }
 }
 
 void
-LoadBook::remove(const LayerPath& aPath, double aTokens)
+LoadTracker::remove(const LayerPath& aPath, double aTokens)
 {
   for (const PathPart& part : aPath.parts) {
     const auto found = this->mine.find(part.replica);
@@ -44,37 +44,37 @@
     return;
   }
   const auto first = this->mine.find(aPath.parts.front().replica);
-  if (first != this->mine.end() && first->second.entered > 0) {
-    --first->second.entered;
+  if (first != this->mine.end() && first->second.pathStarts > 0) {
+    --first->second.pathStarts;
   }
 }
 
 void
-LoadBook::changeReading(const LayerPath& aPath, double aTokens)
+LoadTracker::changeReading(const LayerPath& aPath, double aTokens)
 {
   for (const PathPart& part : aPath.parts) {
     const auto found = this->mine.find(part.replica);
     if (found != this->mine.end()) {
-      double& reading = found->second.readingTokens;
+      double& reading = found->second.prefillTokens;
       reading = std::max(0.0, reading + aTokens);
     }
   }
 }
 
 void
-LoadBook::beginReading(const LayerPath& aPath, double aPrompt)
+LoadTracker::beginPrefill(const LayerPath& aPath, double aPrompt)
 {
   this->changeReading(aPath, aPrompt);
 }
 
 void
-LoadBook::endReading(const LayerPath& aPath, double aPrompt)
+LoadTracker::endPrefill(const LayerPath& aPath, double aPrompt)
 {
   this->changeReading(aPath, -aPrompt);
 }
 
 void
-LoadBook::onPeer(const std::string& aPeer, LoadTable aTable, TimePoint aNow)
+LoadTracker::onPeer(const std::string& aPeer, LoadTable aTable, TimePoint aNow)
 {
   Peer& peer = this->others[aPeer];
   this->takeFromPeers(peer.table);
@@ -83,26 +83,26 @@
 }
 
 void
-LoadBook::addToPeers(const LoadTable& aTable)
+LoadTracker::addToPeers(const LoadTable& aTable)
 {
   for (const auto& [replica, load] : aTable) {
     ReplicaLoad& sum = this->othersSum[replica];
     sum.requests += load.requests;
-    sum.entered += load.entered;
+    sum.pathStarts += load.pathStarts;
     sum.tokenLayers += load.tokenLayers;
-    sum.readingTokens += load.readingTokens;
+    sum.prefillTokens += load.prefillTokens;
   }
 }
 
 void
-LoadBook::takeFromPeers(const LoadTable& aTable)
+LoadTracker::takeFromPeers(const LoadTable& aTable)
 {
   for (const auto& [replica, load] : aTable) {
     ReplicaLoad& sum = this->othersSum[replica];
     sum.requests -= load.requests;
-    sum.entered -= load.entered;
+    sum.pathStarts -= load.pathStarts;
     sum.tokenLayers -= load.tokenLayers;
-    sum.readingTokens -= load.readingTokens;
+    sum.prefillTokens -= load.prefillTokens;
     if (sum.requests == 0) {
       this->othersSum.erase(replica);
     }
@@ -110,7 +110,7 @@
 }
 
 void
-LoadBook::expirePeers(TimePoint aNow)
+LoadTracker::expirePeers(TimePoint aNow)
 {
   std::erase_if(this->others, [&](const auto& aEntry) {
     const bool silent = aNow - aEntry.second.heard > kPeerSilence;
@@ -122,7 +122,7 @@
 }
 
 ReplicaLoad
-LoadBook::at(const std::string& aReplica) const
+LoadTracker::at(const std::string& aReplica) const
 {
   ReplicaLoad sum;
   const auto addFrom = [&](const LoadTable& aTable) {
@@ -131,9 +131,9 @@
       return;
     }
     sum.requests += found->second.requests;
-    sum.entered += found->second.entered;
+    sum.pathStarts += found->second.pathStarts;
     sum.tokenLayers += found->second.tokenLayers;
-    sum.readingTokens += found->second.readingTokens;
+    sum.prefillTokens += found->second.prefillTokens;
   };
   addFrom(this->mine);
   addFrom(this->othersSum);
--- a/src/fleet/PathCosts.cpp
+++ b/src/fleet/PathCosts.cpp
@@ -41,13 +41,13 @@
   node.stepMs = kPassWait * passMs * aKind.stepFactor * aCandidate.slowdown /
                 aProfile.layers;
   constexpr double kMsPerSecond = 1000;
-  const double tokenReadMs = kMsPerSecond / aProfile.readPerSecond *
-                             aKind.readFactor * aCandidate.slowdown /
+  const double tokenReadMs = kMsPerSecond / aProfile.prefillPerSecond *
+                             aKind.prefillFactor * aCandidate.slowdown /
                              aProfile.layers;
   node.readMs = aDemand.promptTokens * tokenReadMs;
-  node.backlogMs = aCandidate.load.readingTokens * tokenReadMs;
+  node.backlogMs = aCandidate.load.prefillTokens * tokenReadMs;
   const bool hasSlot =
-    aDemand.started || aCandidate.load.entered < replica.slots;
+    aDemand.started || aCandidate.load.pathStarts < replica.slots;
   node.mayEnter = hasSlot && aCandidate.takesRequests;
   const double bookable = aDemand.started ? kBookableStarted : kBookable;
   const double free = bookable * tokenLayerCapacity(aProfile, replica) -
@@ -75,13 +75,13 @@
 double
 transferMs(const EngineProfile& aProfile, double aTokens)
 {
-  if (aProfile.pipeMbps <= 0) {
+  if (aProfile.linkMbps <= 0) {
     return 0;
   }
   constexpr double kBitsPerByte = 8;
   constexpr double kBitsPerMsAndMbps = 1000;
   return aTokens * aProfile.activationBytes * kBitsPerByte /
-         (aProfile.pipeMbps * kBitsPerMsAndMbps);
+         (aProfile.linkMbps * kBitsPerMsAndMbps);
 }
 
 double
--- a/src/fleet/PathFinder.cpp
+++ b/src/fleet/PathFinder.cpp
@@ -112,7 +112,7 @@
   double crossTransferMs = 0;
   /** Whether a zone holds a layer, by both. */
   std::vector<bool> held;
-  std::uint32_t mostCrossings = 0;
+  std::uint32_t maxCrossings = 0;
   /** Whether a path may cross between two zones. */
   std::vector<bool> crossOpen;
 };
@@ -186,8 +186,8 @@
       this->held.begin() + static_cast<std::ptrdiff_t>(node.zone * layers);
     std::fill(row + node.layers.from, row + node.layers.to, true);
   }
-  this->mostCrossings =
-    std::max(this->demand.mostCrossings, this->fewestCrossings());
+  this->maxCrossings =
+    std::max(this->demand.maxCrossings, this->fewestCrossings());
 }
 
 /** How often a path crosses at least, whatever its replicas have in flight: it
@@ -245,7 +245,7 @@
   const bool crosses = !begins && aFromZone != aNode.zone;
   const std::uint32_t crossings = aAt.crossings + (crosses ? 1 : 0);
   if (crosses &&
-      (crossings > this->mostCrossings || !this->open(aFromZone, aNode.zone))) {
+      (crossings > this->maxCrossings || !this->open(aFromZone, aNode.zone))) {
     return;
   }
   const double layers = aTo - aFrom;
--- a/src/fleet/ReplicaHealth.cpp
+++ b/src/fleet/ReplicaHealth.cpp
@@ -98,11 +98,11 @@
 }
 
 std::map<std::string, double>
-ReplicaHealth::crippled() const
+ReplicaHealth::degraded() const
 {
   std::map<std::string, double> slow;
   for (const auto& [name, state] : this->states) {
-    if (state.pace >= kCrippled) {
+    if (state.pace >= kDegradedSlowdown) {
       slow.emplace(name, state.pace);
     }
   }
--- a/src/fleet/ReplicaLimits.cpp
+++ b/src/fleet/ReplicaLimits.cpp
@@ -32,7 +32,7 @@
 
 /** The order in which relays take turns at a replica: by zone, then mixed. */
 std::pair<bool, std::uint64_t>
-rankOf(const LimitSharer& aSharer,
+rankOf(const RateLimitSharer& aSharer,
        const std::string& aReplica,
        const std::string& aZone)
 {
@@ -43,7 +43,8 @@
 } // namespace
 
 void
-ReplicaLimits::setOthers(std::vector<LimitSharer> aHeard, std::size_t aKnown)
+ReplicaLimits::setOthers(std::vector<RateLimitSharer> aHeard,
+                         std::size_t aKnown)
 {
   this->known = std::max(aKnown, aHeard.size() + 1);
   if (this->others == aHeard) {
@@ -59,10 +60,12 @@
 ReplicaLimits::place(const std::string& aReplica, Limit& aLimit) const
 {
   const auto own = rankOf(this->self, aReplica, aLimit.zone);
-  aLimit.position = static_cast<std::size_t>(std::count_if(
-    this->others.begin(), this->others.end(), [&](const LimitSharer& aOther) {
-      return rankOf(aOther, aReplica, aLimit.zone) < own;
-    }));
+  aLimit.position = static_cast<std::size_t>(
+    std::count_if(this->others.begin(),
+                  this->others.end(),
+                  [&](const RateLimitSharer& aOther) {
+                    return rankOf(aOther, aReplica, aLimit.zone) < own;
+                  }));
 }
 
 /** How many relays have their turn at the same time. */
@@ -138,31 +141,31 @@
   }
   limit.zone = aZone;
   this->say(limit, aPerSecond, aNow);
-  limit.heardHere = true;
+  limit.fromOwnAnswer = true;
   this->place(aReplica, limit);
   return before != limit.perSecond;
 }
 
 void
-ReplicaLimits::onPeer(const LimitWord& aWord,
+ReplicaLimits::onPeer(const RateLimitReport& aReport,
                       const std::string& aZone,
                       TimePoint aNow)
 {
-  const TimePoint saidAt = aNow - aWord.age;
-  const auto found = this->limits.find(aWord.replica);
+  const TimePoint saidAt = aNow - aReport.age;
+  const auto found = this->limits.find(aReport.replica);
   const bool isKnown = found != this->limits.end();
-  if ((!isKnown && !aWord.perSecond) ||
+  if ((!isKnown && !aReport.perSecond) ||
       (isKnown && saidAt <= found->second.saidAt)) {
     return;
   }
-  Limit& limit = this->limits[aWord.replica];
+  Limit& limit = this->limits[aReport.replica];
   if (limit.perSecond) {
     this->earn(limit, aNow);
   }
   limit.zone = aZone;
-  this->say(limit, aWord.perSecond, saidAt);
-  limit.heardHere = false;
-  this->place(aWord.replica, limit);
+  this->say(limit, aReport.perSecond, saidAt);
+  limit.fromOwnAnswer = false;
+  this->place(aReport.replica, limit);
 }
 
 void
@@ -219,17 +222,17 @@
   });
 }
 
-std::vector<LimitWord>
+std::vector<RateLimitReport>
 ReplicaLimits::own(TimePoint aNow) const
 {
-  std::vector<LimitWord> words;
+  std::vector<RateLimitReport> reports;
   for (const auto& [replica, limit] : this->limits) {
-    if (limit.heardHere) {
-      words.push_back(
-        LimitWord{ replica, limit.perSecond, aNow - limit.saidAt });
+    if (limit.fromOwnAnswer) {
+      reports.push_back(
+        RateLimitReport{ replica, limit.perSecond, aNow - limit.saidAt });
     }
   }
-  return words;
+  return reports;
 }
 
 } // namespace poplartrack
--- a/src/fleet/ReplicaList.cpp
+++ b/src/fleet/ReplicaList.cpp
@@ -65,7 +65,7 @@
     this->replicas.insert_or_assign(replica.registeredAs, replica);
     listed.insert(replica.registeredAs);
   }
-  for (const std::string& name : aPoll.gone) {
+  for (const std::string& name : aPoll.removed) {
     this->lose(name, aNow);
   }
   // What cannot be read may say that the replica leaves: it takes no new work
--- a/src/fleet/StaggeredCopies.cpp
+++ b/src/fleet/StaggeredCopies.cpp
@@ -174,7 +174,7 @@
 {
   const double goal = layer_copy::tokenGoal(aProfile);
   const double most = tokensOfCopy(aProfile, aKinds, goal);
-  if (most < aProfile.usualPrompt + aProfile.usualAnswer) {
+  if (most < aProfile.meanPromptTokens + aProfile.meanAnswerTokens) {
     return std::nullopt;
   }
   const double tokens = bestTokens(aProfile, aKinds, goal);
--- a/src/fleet/StorePace.cpp
+++ b/src/fleet/StorePollSchedule.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/StorePace.h"
+#include "poplartrack/fleet/StorePollSchedule.h"
 
 #include <algorithm>
 
@@ -60,7 +60,7 @@
  * configuration without a proof is not used any more (300 ms, and 200 for what
  * the threads wait). */
 constexpr Duration kBeforeDeadline =
-  StorePace::kProofRead + milliseconds{ 500 };
+  StorePollSchedule::kProofRead + milliseconds{ 500 };
 constexpr Duration kProofPause = milliseconds{ 1'000 };
 
 /** A wait between the two, by the draw. A change ends the looks of all relays
@@ -77,13 +77,13 @@
 } // namespace
 
 bool
-StorePace::shares() const
+StorePollSchedule::shares() const
 {
   return this->heard >= kEnoughRelays;
 }
 
 Duration
-StorePace::configWait(double aDraw) const
+StorePollSchedule::configWait(double aDraw) const
 {
   if (!this->shares()) {
     return kConfigWaitAlone;
@@ -94,7 +94,7 @@
 }
 
 Duration
-StorePace::replicasWait(bool aUncertain, double aDraw) const
+StorePollSchedule::replicasWait(bool aUncertain, double aDraw) const
 {
   if (aUncertain) {
     return kUncertainWait;
@@ -108,7 +108,7 @@
 }
 
 Duration
-StorePace::retryPause(int aFailures, double aDraw) const
+StorePollSchedule::retryPause(int aFailures, double aDraw) const
 {
   constexpr int kMostDoublings = 4;
   const Duration most = this->shares() ? kRetryMost : kRetryMostAlone;
@@ -118,13 +118,15 @@
 }
 
 Duration
-StorePace::gatherPause(bool aInUse)
+StorePollSchedule::gatherPause(bool aInUse)
 {
   return aInUse ? kGatherInUse : kGatherBefore;
 }
 
 bool
-StorePace::wantsProof(Duration aAge, Duration aSince, Duration aDeadline)
+StorePollSchedule::wantsProof(Duration aAge,
+                              Duration aSince,
+                              Duration aDeadline)
 {
   const Duration old = std::min(kOldProof, aDeadline - kBeforeDeadline);
   return aAge >= old && aSince >= kProofPause;
--- a/src/fleet/WaitingLine.cpp
+++ b/src/fleet/WaitQueue.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/WaitingLine.h"
+#include "poplartrack/fleet/WaitQueue.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,7 +6,7 @@
 namespace poplartrack {
 
 void
-WaitingLine::join(const Waiter& aWaiter)
+WaitQueue::join(const Waiter& aWaiter)
 {
   const auto [place, isNew] =
     this->waiters.try_emplace(aWaiter.request, Place{ aWaiter, 0 });
@@ -16,13 +16,13 @@
 }
 
 void
-WaitingLine::leave(std::uint64_t aRequest)
+WaitQueue::leave(std::uint64_t aRequest)
 {
   this->waiters.erase(aRequest);
 }
 
 std::vector<std::uint64_t>
-WaitingLine::order(TimePoint aNow) const
+WaitQueue::order(TimePoint aNow) const
 {
   std::vector<const Place*> places;
   places.reserve(this->waiters.size());
@@ -48,7 +48,7 @@
 }
 
 void
-WaitingLine::onRefused(const Waiter& aWaiter)
+WaitQueue::onRefused(const Waiter& aWaiter)
 {
   const auto [smallest, isNew] = this->smallestRefused.try_emplace(
     Kind{ aWaiter.service, aWaiter.started }, aWaiter.tokens);
@@ -58,7 +58,7 @@
 }
 
 bool
-WaitingLine::worthTrying(const Waiter& aWaiter) const
+WaitQueue::worthTrying(const Waiter& aWaiter) const
 {
   const auto smallest =
     this->smallestRefused.find(Kind{ aWaiter.service, aWaiter.started });
--- a/src/fleet/ZoneFlow.cpp
+++ b/src/fleet/ZoneFlow.cpp
@@ -46,10 +46,10 @@
   {
     return aStretch * this->zones + aZone;
   }
-  Resource& pipe(std::size_t aFrom, std::size_t aTo)
+  Resource& link(std::size_t aFrom, std::size_t aTo)
   {
     return this
-      ->pipes[std::min(aFrom, aTo) * this->zones + std::max(aFrom, aTo)];
+      ->links[std::min(aFrom, aTo) * this->zones + std::max(aFrom, aTo)];
   }
   void price();
   bool dealStep();
@@ -58,9 +58,9 @@
   std::size_t stretches = 0;
   /** By stretch and zone; a rate of 0 where the zone does not hold it. */
   std::vector<Resource> layers;
-  std::vector<Resource> pipes;
+  std::vector<Resource> links;
   std::vector<double> layerCosts;
-  std::vector<double> pipeCosts;
+  std::vector<double> linkCosts;
   std::vector<double> best;
   std::vector<std::size_t> before;
 };
@@ -90,10 +90,10 @@
       }
     }
   }
-  this->pipes.assign(this->zones * this->zones,
+  this->links.assign(this->zones * this->zones,
                      Resource{ 0, crossingRate(aProfile) });
   this->layerCosts.resize(this->layers.size());
-  this->pipeCosts.resize(this->pipes.size());
+  this->linkCosts.resize(this->links.size());
   this->best.resize(this->layers.size());
   this->before.resize(this->layers.size());
 }
@@ -107,8 +107,8 @@
   }
   for (std::size_t from = 0; from < this->zones; ++from) {
     for (std::size_t to = 0; to < this->zones; ++to) {
-      const double cost = this->pipe(from, to).cost();
-      this->pipeCosts[from * this->zones + to] =
+      const double cost = this->link(from, to).cost();
+      this->linkCosts[from * this->zones + to] =
         from == to ? 0 : kCrossingCost + cost;
     }
   }
@@ -126,7 +126,7 @@
       std::size_t from = zone;
       for (std::size_t other = 0; i > 0 && other < this->zones; ++other) {
         const double cost = this->best[this->at(i - 1, other)] +
-                            this->pipeCosts[other * this->zones + zone];
+                            this->linkCosts[other * this->zones + zone];
         if (cost < cheapest) {
           cheapest = cost;
           from = other;
@@ -149,7 +149,7 @@
     this->layers[here].load += 1;
     const std::size_t from = this->before[here];
     if (i > 1 && from != zone) {
-      this->pipe(from, zone).load += 1;
+      this->link(from, zone).load += 1;
     }
     zone = from;
   }
@@ -168,7 +168,7 @@
   for (const Resource& resource : this->layers) {
     fullest = resource.rate > 0 ? std::max(fullest, resource.use()) : fullest;
   }
-  for (const Resource& resource : this->pipes) {
+  for (const Resource& resource : this->links) {
     fullest = std::max(fullest, resource.use());
   }
   return fullest > 0 ? kSteps / fullest : kNever;
@@ -180,10 +180,10 @@
 crossingRate(const EngineProfile& aProfile)
 {
   constexpr double kBytesPerMegabit = 1e6 / 8;
-  const double bytes =
-    (aProfile.usualPrompt + aProfile.usualAnswer) * aProfile.activationBytes;
-  return aProfile.pipeMbps > 0 && bytes > 0
-           ? aProfile.pipeMbps * kBytesPerMegabit / bytes
+  const double bytes = (aProfile.meanPromptTokens + aProfile.meanAnswerTokens) *
+                       aProfile.activationBytes;
+  return aProfile.linkMbps > 0 && bytes > 0
+           ? aProfile.linkMbps * kBytesPerMegabit / bytes
            : kNever;
 }
 
--- a/src/fleet/ZoneFlow.h
+++ b/src/fleet/ZoneFlow.h
@@ -4,7 +4,7 @@
 
 #include "poplartrack/base/LayerRange.h"
 #include "poplartrack/fleet/EngineProfile.h"
-#include "poplartrack/fleet/PipeRate.h"
+#include "poplartrack/fleet/LinkRate.h"
 
 namespace poplartrack {
 
--- a/src/relay/PeerWord.h
+++ b/src/relay/PeerStatus.h
@@ -20,13 +20,13 @@
   std::string replica;
   std::uint32_t requests = 0;
   std::uint32_t tokenLayers = 0;
-  std::uint32_t readingTokens = 0;
-  std::uint32_t entered = 0;
-  MSGPACK_DEFINE(replica, requests, tokenLayers, readingTokens, entered);
+  std::uint32_t prefillTokens = 0;
+  std::uint32_t pathStarts = 0;
+  MSGPACK_DEFINE(replica, requests, tokenLayers, prefillTokens, pathStarts);
 };
 
 /** What the sender has sent between two availability zones, in kB. */
-struct PipeRow
+struct LinkRow
 {
   std::string one;
   std::string other;
@@ -78,26 +78,26 @@
 struct PeerEcho
 {
   /** The addressed relay's life; 0: not heard yet. */
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   /** When it sent that word, on its own clock, in microseconds. */
   std::int64_t sentAt = 0;
-  MSGPACK_DEFINE(life, sentAt);
+  MSGPACK_DEFINE(incarnation, sentAt);
 };
 
 /** What a relay tells the others. */
-struct PeerWord
+struct PeerStatus
 {
   std::uint32_t format = kPeerFormat;
   /** Names one life of the sender's process: a machine that takes over its
    * address has another clock. */
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   /** The sender's availability zone. */
   std::string zone;
   std::vector<LoadRow> loads;
   /** Replicas that another replica named as what its work waits for. */
   std::vector<std::string> lost;
   /** Replicas that leave or have left, as the sender's list says. */
-  std::vector<std::string> leaving;
+  std::vector<std::string> draining;
   /** Replicas that the sender itself cannot reach. */
   std::vector<std::string> unreachable;
   /** Replicas that are slow, with how slow. */
@@ -111,17 +111,17 @@
   /** Latest change of the replicas' list that the sender has. */
   std::uint64_t list = 0;
   /** The sender looks at the store, and whether its latest look failed. */
-  bool looks = false;
-  bool looksFail = false;
+  bool polls = false;
+  bool pollsFail = false;
   /** The sender holds the placement lease. */
-  bool leads = false;
+  bool holdsLease = false;
   /** What it counted over the window of the retry budgets. */
   std::vector<RetryRow> retries;
   /** What it sent between zones since its start. */
-  std::vector<PipeRow> pipes;
+  std::vector<LinkRow> links;
   /** Fencing number of the placement lease that it held and gave up; 0: none.
    */
-  std::uint64_t gaveUp = 0;
+  std::uint64_t releasedFence = 0;
   /** Replicas that ended under requests lately, as far as the sender knows. */
   std::vector<CrashRow> crashes;
   /** All requests that are sent to no replica. */
@@ -132,23 +132,23 @@
   /** Replicas that limit what they take, or have done so until lately. */
   std::vector<LimitRow> limits;
   MSGPACK_DEFINE(format,
-                 life,
+                 incarnation,
                  zone,
                  loads,
                  lost,
-                 leaving,
+                 draining,
                  unreachable,
                  slow,
                  sentAt,
                  config,
                  configAge,
                  list,
-                 looks,
-                 looksFail,
-                 leads,
+                 polls,
+                 pollsFail,
+                 holdsLease,
                  retries,
-                 pipes,
-                 gaveUp,
+                 links,
+                 releasedFence,
                  crashes,
                  quarantine,
                  served,
--- a/src/relay/PlacementDuty.cpp
+++ b/src/relay/PlacementController.cpp
@@ -1,18 +1,19 @@
-#include "poplartrack/relay/PlacementDuty.h"
+#include "poplartrack/relay/PlacementController.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace poplartrack {
 
-PlacementDuty::PlacementDuty(RelayShared& aShared, PlaceOrder aPlace)
+PlacementController::PlacementController(RelayShared& aShared,
+                                         PlaceOrder aPlace)
   : shared(aShared)
   , placeOrder(std::move(aPlace))
 {
 }
 
 void
-PlacementDuty::run(std::uint64_t aFence, TimePoint aNow)
+PlacementController::run(std::uint64_t aFence, TimePoint aNow)
 {
   if (aFence != this->fence) {
     // Another relay may have led meanwhile: its orders are not known here.
@@ -36,21 +37,21 @@
 }
 
 void
-PlacementDuty::place(const std::string& aService,
-                     const EngineProfile& aEngine,
-                     const std::vector<std::size_t>& aListed,
-                     TimePoint aNow)
+PlacementController::place(const std::string& aService,
+                           const EngineProfile& aEngine,
+                           const std::vector<std::size_t>& aListed,
+                           TimePoint aNow)
 {
   const auto view = this->shared.replicas.read();
   const auto lost = this->shared.lost.read();
   std::vector<Replica> staying;
-  bool inDoubt = false;
+  bool uncertain = false;
   const std::set<std::string> gone = this->endedAmong(*view);
   for (const std::size_t place : aListed) {
     const Replica& replica = view->replicas[place];
     const auto found = lost->find(replica.id);
     const bool dead = found != lost->end();
-    inDoubt = inDoubt || (dead && !found->second && !replica.draining);
+    uncertain = uncertain || (dead && !found->second && !replica.draining);
     if (!replica.draining && !dead && !gone.contains(replica.id)) {
       staying.push_back(replica);
     }
@@ -60,8 +61,8 @@
     const std::scoped_lock lock{ this->guard };
     auto& planner =
       this->planners.try_emplace(aService, LayerPlannerPolicy{}).first->second;
-    orders =
-      planner.plan(aEngine, staying, inDoubt, *this->shared.busy.read(), aNow);
+    orders = planner.plan(
+      aEngine, staying, uncertain, *this->shared.busy.read(), aNow);
     this->logGaps(aService, planner.gaps());
   }
   for (const LayerOrder& order : orders) {
@@ -75,7 +76,7 @@
 
 /** Replicas that are listed, but at whose address another one answered. */
 std::set<std::string>
-PlacementDuty::endedAmong(const ReplicaView& aView)
+PlacementController::endedAmong(const ReplicaView& aView)
 {
   const std::scoped_lock lock{ this->guard };
   std::set<std::string> listed;
@@ -91,8 +92,8 @@
 /** Says once which layers a zone lacks: its callers' paths cross to another one
  * for these, or are refused. */
 void
-PlacementDuty::logGaps(const std::string& aService,
-                       const std::vector<CopyGap>& aGaps)
+PlacementController::logGaps(const std::string& aService,
+                             const std::vector<CopyGap>& aGaps)
 {
   std::vector<CopyGap>& logged = this->loggedGaps[aService];
   if (logged == aGaps) {
@@ -113,7 +114,7 @@
 }
 
 void
-PlacementDuty::give(const LayerOrder& aOrder, const Replica& aReplica)
+PlacementController::give(const LayerOrder& aOrder, const Replica& aReplica)
 {
   this->shared.metrics.count("placement_orders_total");
   this->shared.log.write(
@@ -134,7 +135,8 @@
 }
 
 void
-PlacementDuty::onOrderDone(const Replica& aReplica, const Result<Done>& aDone)
+PlacementController::onOrderDone(const Replica& aReplica,
+                                 const Result<Done>& aDone)
 {
   if (aDone) {
     return;
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -93,7 +93,7 @@
     this->onBroken(aExchange, ReplicaFailure::Faulty, "no stamp");
     return;
   }
-  if (isSuccess(head.status) && aExchange.route->rule == RepeatRule::Stream) {
+  if (isSuccess(head.status) && aExchange.route->rule == RetryRule::Stream) {
     aExchange.streaming = true;
   }
 }
@@ -147,7 +147,7 @@
     if (!aExchange.runningSince) {
       aExchange.runningSince = this->now;
     }
-    this->endReading(aExchange);
+    this->endPrefill(aExchange);
     this->noteRepaired(aExchange);
     text.append(chunkOf(out));
     aExchange.lastProgress = this->now;
@@ -193,7 +193,7 @@
   if (!isSuccess(head.status) && head.status >= kInternalError) {
     this->health.onFailure(exchange.replica, ReplicaFailure::Faulty, this->now);
     const bool again =
-      exchange.route->rule == RepeatRule::Idempotent &&
+      exchange.route->rule == RetryRule::Idempotent &&
       exchange.runs + 1 < exchange.route->attempts &&
       exchange.sends < kMostSends &&
       this->budgetOf(exchange).tryRetry(retryNeedOf(exchange), this->now);
@@ -201,7 +201,7 @@
       this->shared.metrics.countRetry(RetryReason::ReplicaFailed);
       exchange.avoid.insert(exchange.replica);
       exchange.connection = 0;
-      this->unbook(exchange);
+      this->removeLoad(exchange);
       ++exchange.runs;
       this->releaseReplica(connection);
       this->dispatch(exchange);
@@ -261,27 +261,27 @@
 void
 RelayLoop::Impl::onNotRun(Exchange& aExchange, const MessageHead& aHead)
 {
-  std::string culprit = aExchange.replica;
+  std::string faulty = aExchange.replica;
   if (const auto at = aHead.headers.find(this->names.faultyReplica)) {
     const Result<Address> address = addressFromText(*at);
     const Replica* named = address ? this->replicaAt(address.value()) : nullptr;
-    culprit = named != nullptr ? named->id : culprit;
+    faulty = named != nullptr ? named->id : faulty;
   }
   const bool path = !aExchange.path.parts.empty();
   // Work that found no replica at a part of its path for the whole stall time
   // comes back as refused: that part is dead, not full.
   const bool stalled =
     path && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
-  this->health.onFailure(culprit,
+  this->health.onFailure(faulty,
                          stalled ? ReplicaFailure::Stalled
                                  : ReplicaFailure::Refused,
                          this->now);
   this->shared.log.write(LogLine{ LogPart::Path, "replica_refused" }
                            .with("id", aExchange.requestId)
-                           .with("replica", culprit)
+                           .with("replica", faulty)
                            .with("status", aHead.status)
                            .with("stalled", stalled ? 1 : 0));
-  aExchange.avoid.insert(culprit);
+  aExchange.avoid.insert(faulty);
   this->dropAttempt(aExchange, false);
   // A started stream waits for the budget, and for a path, before it is cut.
   if (maySendAgain(aExchange)) {
@@ -316,8 +316,8 @@
   aExchange.avoid.insert(aExchange.replica);
   this->dropAttempt(aExchange, ran);
   const RelayRoute& route = *aExchange.route;
-  const bool repeatable = route.rule == RepeatRule::Idempotent ||
-                          (route.rule == RepeatRule::Stream && route.resumable);
+  const bool repeatable = route.rule == RetryRule::Idempotent ||
+                          (route.rule == RetryRule::Stream && route.resumable);
   const bool allowed = !ran || (repeatable && aExchange.runs < route.attempts);
   if (aFailure == ReplicaFailure::Unreachable) {
     this->publishLost();
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -6,8 +6,8 @@
 #include <limits>
 
 #include "RelayLoopImpl.h"
+#include "poplartrack/fleet/LinkRate.h"
 #include "poplartrack/fleet/PathFinder.h"
-#include "poplartrack/fleet/PipeRate.h"
 #include "poplartrack/fleet/PlainChoice.h"
 
 namespace poplartrack {
@@ -20,7 +20,7 @@
 
 /** ... and of a pipe so slow that a prompt alone holds streams up: they are
  * late in any case, and what it carries at all counts. */
-constexpr double kSlowPipePart = 0.95;
+constexpr double kSlowLinkPart = 0.95;
 
 constexpr double kBytesPerMegabit = 1e6 / 8;
 
@@ -47,9 +47,9 @@
   std::vector<double> numbers;
   while (!aText.empty()) {
     const std::size_t comma = aText.find(',');
-    const std::string_view word = aText.substr(0, comma);
+    const std::string_view token = aText.substr(0, comma);
     double number = 0;
-    std::from_chars(word.data(), word.data() + word.size(), number);
+    std::from_chars(token.data(), token.data() + token.size(), number);
     numbers.push_back(number);
     aText = comma == std::string_view::npos ? std::string_view{}
                                             : aText.substr(comma + 1);
@@ -91,8 +91,8 @@
     return need;
   }
   const EngineProfile& engine = *aExchange.service->engine;
-  need.prompt = engine.usualPrompt;
-  need.answer = engine.usualAnswer;
+  need.prompt = engine.meanPromptTokens;
+  need.answer = engine.meanAnswerTokens;
   const HeaderList& headers = aExchange.head.headers;
   const auto counts = numbersIn(headers.find(this->names.tokens).value_or(""));
   if (!counts.empty()) {
@@ -110,9 +110,9 @@
 }
 
 void
-RelayLoop::Impl::book(Exchange& aExchange)
+RelayLoop::Impl::addLoad(Exchange& aExchange)
 {
-  this->unbook(aExchange);
+  this->removeLoad(aExchange);
   aExchange.booked = true;
   if (aExchange.path.parts.empty()) {
     ++this->plainLoad[aExchange.replica];
@@ -120,28 +120,28 @@
   }
   aExchange.bookedTokens = aExchange.need.prompt + aExchange.need.answer;
   this->loads.add(aExchange.path, aExchange.bookedTokens);
-  this->loads.beginReading(aExchange.path, aExchange.need.prompt);
+  this->loads.beginPrefill(aExchange.path, aExchange.need.prompt);
   aExchange.reading = true;
 }
 
 /** The first event of an attempt has come: its prompt has been read. */
 void
-RelayLoop::Impl::endReading(Exchange& aExchange)
+RelayLoop::Impl::endPrefill(Exchange& aExchange)
 {
   if (aExchange.reading) {
     aExchange.reading = false;
-    this->loads.endReading(aExchange.path, aExchange.need.prompt);
+    this->loads.endPrefill(aExchange.path, aExchange.need.prompt);
   }
 }
 
 void
-RelayLoop::Impl::unbook(Exchange& aExchange)
+RelayLoop::Impl::removeLoad(Exchange& aExchange)
 {
   if (!aExchange.booked) {
     return;
   }
   aExchange.booked = false;
-  this->endReading(aExchange);
+  this->endPrefill(aExchange);
   if (!aExchange.path.parts.empty()) {
     this->loads.remove(aExchange.path, aExchange.bookedTokens);
     return;
@@ -200,7 +200,7 @@
   return this->ended.contains(aReplica) ||
          this->reports.lost(aReplica,
                             this->health.dead(aReplica, this->now),
-                            this->peersHeard.size() + 1);
+                            this->knownPeers.size() + 1);
 }
 
 std::vector<PathCandidate>
@@ -218,7 +218,7 @@
       continue;
     }
     const double slowdown = this->slowdownOf(replica.id);
-    if (slowdown < kCrippled || aSlowToo) {
+    if (slowdown < kDegradedSlowdown || aSlowToo) {
       candidates.push_back(PathCandidate{ &replica,
                                           this->loads.at(replica.id),
                                           slowdown,
@@ -234,18 +234,18 @@
 RelayLoop::Impl::findPathFor(const Exchange& aExchange, PathDemand aDemand)
 {
   const EngineProfile& engine = *aExchange.service->engine;
-  if (engine.pipeMbps > 0) {
+  if (engine.linkMbps > 0) {
     // Relays that are not heard send too: their part is left to them.
-    const auto heard = static_cast<double>(this->peersHeard.size() + 1);
+    const auto heard = static_cast<double>(this->knownPeers.size() + 1);
     const auto known =
       static_cast<double>(this->shared.peers.read()->size() + 1);
-    const double part = crossesSteadily(engine) ? kCalmPart : kSlowPipePart;
-    this->pipes.setRate(part * engine.pipeMbps * kBytesPerMegabit *
+    const double part = crossesSteadily(engine) ? kCalmPart : kSlowLinkPart;
+    this->links.setRate(part * engine.linkMbps * kBytesPerMegabit *
                         std::min(heard / known, 1.0));
-    aDemand.closed = this->pipes.closed(this->now);
-    aDemand.waits = this->pipes.waits(this->now);
+    aDemand.closed = this->links.closed(this->now);
+    aDemand.waits = this->links.waits(this->now);
     if (!aDemand.started) {
-      aDemand.mostCrossings = crossingsInTime(aExchange, aDemand);
+      aDemand.maxCrossings = crossingsInTime(aExchange, aDemand);
     }
   }
   Result<LayerPath> path = fail(ErrorKind::NoRoute, "");
@@ -265,7 +265,7 @@
 {
   const double tokens = aExchange.need.prompt + aExchange.need.answer;
   for (const ZonePair& zones : aPath.crossings) {
-    this->pipes.take(
+    this->links.take(
       zones, tokens * aExchange.service->engine->activationBytes, this->now);
   }
 }
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -31,7 +31,7 @@
 void
 RelayLoop::Impl::watchCrash(Exchange& aExchange, ConnectionEnd aEnd)
 {
-  const bool planned = this->leavingSince.contains(aExchange.replica);
+  const bool planned = this->drainingSince.contains(aExchange.replica);
   if (planned || !this->mayHaveRun(aExchange)) {
     return;
   }
@@ -91,7 +91,7 @@
                            .with("content", toText(aRequest))
                            .with("own", aOwn ? 1 : 0));
   if (this->servedContents.lastServed(aRequest, this->now)) {
-    const std::size_t before = this->placeInLine(aRequest);
+    const std::size_t before = this->trialRank(aRequest);
     this->crashes.allowTrial(aRequest,
                              this->now + kTrialAfter +
                                kTrialApart * static_cast<int>(before));
@@ -100,7 +100,7 @@
   // Not from here: a request that looks for a path may have brought the news.
   this->post([this, aRequest, aOwn] {
     if (aOwn) {
-      this->tellPeers(true);
+      this->broadcastStatus(true);
     }
     this->stopQuarantined(aRequest);
   });
@@ -109,14 +109,14 @@
 /** How many relays come before this one, in an order for the request that all
  * agree on. */
 std::size_t
-RelayLoop::Impl::placeInLine(const Fingerprint& aRequest) const
+RelayLoop::Impl::trialRank(const Fingerprint& aRequest) const
 {
   const auto rank = [&](const Address& aRelay) {
     return std::hash<std::string>{}(toText(aRelay) + toText(aRequest));
   };
   const std::size_t own = rank(this->localPeers);
   return static_cast<std::size_t>(std::count_if(
-    this->peersHeard.begin(), this->peersHeard.end(), [&](const auto& aEntry) {
+    this->knownPeers.begin(), this->knownPeers.end(), [&](const auto& aEntry) {
       return rank(aEntry.first) < own;
     }));
 }
@@ -215,11 +215,11 @@
 }
 
 void
-RelayLoop::Impl::tellCrashes(PeerWord& aWord) const
+RelayLoop::Impl::addCrashes(PeerStatus& aStatus) const
 {
   for (CrashReport& report :
        this->crashes.latestCrashes(this->now, kMostCrashRows)) {
-    aWord.crashes.push_back(
+    aStatus.crashes.push_back(
       CrashRow{ report.request, std::move(report.replica), report.early });
   }
   std::vector<QuarantineRecord> records = this->crashes.quarantine(this->now);
@@ -230,27 +230,27 @@
             });
   records.resize(std::min(records.size(), kMostQuarantineRows));
   for (const QuarantineRecord& record : records) {
-    aWord.quarantine.push_back(
+    aStatus.quarantine.push_back(
       QuarantineRow{ record.request, record.age.count() });
   }
-  aWord.served = this->crashes.latestServed(this->now);
+  aStatus.served = this->crashes.latestServed(this->now);
 }
 
 void
-RelayLoop::Impl::hearCrashes(const PeerWord& aWord)
+RelayLoop::Impl::onPeerCrashes(const PeerStatus& aStatus)
 {
-  for (const Fingerprint& request : aWord.served) {
+  for (const Fingerprint& request : aStatus.served) {
     if (this->crashes.onServed(request, this->now)) {
       this->onReleased(request);
     }
   }
-  for (const CrashRow& row : aWord.crashes) {
+  for (const CrashRow& row : aStatus.crashes) {
     const CrashReport report{ row.request, row.replica, row.early };
     if (this->crashes.onCrash(report, CrashSource::Peer, this->now)) {
       this->onQuarantine(row.request, false);
     }
   }
-  for (const QuarantineRow& row : aWord.quarantine) {
+  for (const QuarantineRow& row : aStatus.quarantine) {
     if (this->crashes.onQuarantined(
           row.request, Duration{ row.age }, this->now)) {
       this->onQuarantine(row.request, false);
--- a/src/relay/RelayLeaving.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -12,15 +12,15 @@
 /** A leaving replica takes no new work and serves on for the drain time at
  * least. What it runs is moved after this part of it, when its neighbours have
  * had the time to take its layers over. */
-constexpr int kLeavingNoticePart = 2;
+constexpr int kDrainNoticePart = 2;
 
 /** What another relay told of leaving replicas holds for this many times the
  * bound on leaving replicas after it was told last: by then the own list has
  * caught up, or the replica is gone. */
-constexpr int kLeavingHeardBounds = 2;
+constexpr int kDrainReportBounds = 2;
 
 /** By then it is gone, and with it all that it ran. */
-constexpr Duration kLeavingForgotten = std::chrono::seconds{ 20 };
+constexpr Duration kDrainingForgotten = std::chrono::seconds{ 20 };
 
 /** A stream that ends in this time is left where it is. */
 constexpr Duration kNearlyDone = std::chrono::milliseconds{ 1'000 };
@@ -35,25 +35,25 @@
  * that started again are not among them: nothing of theirs is left to move in
  * time. */
 void
-RelayLoop::Impl::noteLeaving(const ReplicaView& aLatest)
+RelayLoop::Impl::noteDraining(const ReplicaView& aLatest)
 {
   std::map<std::string, bool> drains;
   for (const Replica& replica : aLatest.replicas) {
     drains.emplace(replica.id, replica.draining);
     if (!replica.draining) {
       // It had lapsed while the store was away, and is back.
-      this->leavingSince.erase(replica.id);
+      this->drainingSince.erase(replica.id);
     }
   }
   for (const Replica& replica : this->view->replicas) {
     const auto found = drains.find(replica.id);
     const bool leaves = found == drains.end() || found->second;
     if (leaves && !this->ended.contains(replica.id)) {
-      this->leavingSince.try_emplace(replica.id, this->now);
+      this->drainingSince.try_emplace(replica.id, this->now);
     }
   }
-  std::erase_if(this->leavingSince, [this](const auto& aEntry) {
-    return this->now - aEntry.second > kLeavingForgotten;
+  std::erase_if(this->drainingSince, [this](const auto& aEntry) {
+    return this->now - aEntry.second > kDrainingForgotten;
   });
 }
 
@@ -68,7 +68,7 @@
   for (const Replica& replica : this->view->replicas) {
     const auto found = latest.find(replica.registeredAs);
     if (found != latest.end() && found->second != replica.id) {
-      this->endLife(replica.id);
+      this->endIncarnation(replica.id);
     }
   }
 }
@@ -80,7 +80,7 @@
  * stood still until the 2.5 s were over after which the others give them up.
  */
 void
-RelayLoop::Impl::endLife(const std::string& aReplica)
+RelayLoop::Impl::endIncarnation(const std::string& aReplica)
 {
   if (!this->ended.try_emplace(aReplica, this->now).second) {
     return;
@@ -88,25 +88,25 @@
   this->shared.metrics.count("replica_restarts_total");
   this->shared.log.write(
     LogLine{ LogPart::Replicas, "restarted" }.with("replica", aReplica));
-  this->leavingSince.erase(aReplica);
+  this->drainingSince.erase(aReplica);
   // Not from here: a request that looks for a path may have brought the list.
-  this->post([this, aReplica] { this->onCulprit(aReplica); });
+  this->post([this, aReplica] { this->onFaultyReplica(aReplica); });
 }
 
 /** Replicas that leave, or were taken off the list lately. */
 std::set<std::string>
-RelayLoop::Impl::leavingReplicas() const
+RelayLoop::Impl::drainingReplicas() const
 {
-  std::set<std::string> leaving;
-  for (const auto& [replica, since] : this->leavingSince) {
-    leaving.insert(replica);
+  std::set<std::string> draining;
+  for (const auto& [replica, since] : this->drainingSince) {
+    draining.insert(replica);
   }
   for (const Replica& replica : this->view->replicas) {
     if (replica.draining) {
-      leaving.insert(replica.id);
+      draining.insert(replica.id);
     }
   }
-  return leaving;
+  return draining;
 }
 
 /**
@@ -117,25 +117,25 @@
  * had some.
  */
 void
-RelayLoop::Impl::hearLeaving(const PeerWord& aWord)
+RelayLoop::Impl::onPeerDraining(const PeerStatus& aStatus)
 {
-  if (aWord.list <= this->view->changed) {
+  if (aStatus.list <= this->view->changed) {
     return;
   }
-  for (const std::string& replica : aWord.leaving) {
-    this->leavingHeard.insert_or_assign(replica,
-                                        LeavingWord{ aWord.list, this->now });
+  for (const std::string& replica : aStatus.draining) {
+    this->peerDrainReports.insert_or_assign(
+      replica, PeerDrainReport{ aStatus.list, this->now });
   }
 }
 
 /** Drops what the own list tells by now, and what is too old. */
 void
-RelayLoop::Impl::expireLeavingHeard()
+RelayLoop::Impl::expireDrainReports()
 {
-  std::erase_if(this->leavingHeard, [this](const auto& aEntry) {
-    const LeavingWord& word = aEntry.second;
-    return word.list <= this->view->changed ||
-           this->now - word.heard > this->settings.drain * kLeavingHeardBounds;
+  std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
+    const PeerDrainReport& report = aEntry.second;
+    return report.list <= this->view->changed ||
+           this->now - report.heard > this->settings.drain * kDrainReportBounds;
   });
 }
 
@@ -144,13 +144,13 @@
 bool
 RelayLoop::Impl::leaves(const Replica& aReplica) const
 {
-  return aReplica.draining || this->leavingHeard.contains(aReplica.id);
+  return aReplica.draining || this->peerDrainReports.contains(aReplica.id);
 }
 
 /** Whether the request runs through a replica that will be gone before it has
  * ended, as far as can be told, and may be moved. */
 bool
-RelayLoop::Impl::leavesSoon(const Exchange& aExchange) const
+RelayLoop::Impl::usesDrainingReplica(const Exchange& aExchange) const
 {
   if (!aExchange.streaming || aExchange.connection == 0) {
     return false;
@@ -158,10 +158,10 @@
   const auto& parts = aExchange.path.parts;
   const bool leaves =
     std::any_of(parts.begin(), parts.end(), [this](const PathPart& aPart) {
-      const auto found = this->leavingSince.find(aPart.replica);
-      return found != this->leavingSince.end() &&
+      const auto found = this->drainingSince.find(aPart.replica);
+      return found != this->drainingSince.end() &&
              this->now - found->second >=
-               this->settings.drain / kLeavingNoticePart;
+               this->settings.drain / kDrainNoticePart;
     });
   const double left =
     aExchange.need.answer - static_cast<double>(aExchange.events) *
@@ -179,14 +179,14 @@
  * moved at a time, since each is read again elsewhere.
  */
 void
-RelayLoop::Impl::moveOffLeaving()
+RelayLoop::Impl::moveOffDraining()
 {
-  if (this->leavingSince.empty()) {
+  if (this->drainingSince.empty()) {
     return;
   }
   std::vector<std::uint64_t> moving;
   for (const auto& [id, exchange] : this->exchanges) {
-    if (moving.size() < kMovesAtOnce && this->leavesSoon(*exchange)) {
+    if (moving.size() < kMovesAtOnce && this->usesDrainingReplica(*exchange)) {
       moving.push_back(id);
     }
   }
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -99,7 +99,7 @@
     this->refuseQuarantined(aExchange);
     return;
   }
-  Result<AttemptTarget> target = this->chooseInLine(aExchange);
+  Result<AttemptTarget> target = this->chooseQueued(aExchange);
   if (target && this->callerLeft(aExchange)) {
     this->onCallerGone(aExchange.id);
     return;
@@ -127,7 +127,7 @@
 void
 RelayLoop::Impl::send(Exchange& aExchange, const AttemptTarget& aTarget)
 {
-  const bool recentOnly = aExchange.route->rule == RepeatRule::AtMostOnce;
+  const bool recentOnly = aExchange.route->rule == RetryRule::AtMostOnce;
   Result<ReplicaConnection*> opened = this->connectionTo(aTarget, recentOnly);
   if (!opened) {
     this->health.onFailure(
@@ -148,7 +148,7 @@
   ++aExchange.sends;
   this->waiting.leave(aExchange.id);
   this->replicaLimits.onSent(aTarget.replica, this->now);
-  this->book(aExchange);
+  this->addLoad(aExchange);
   this->payCrossings(aExchange, aTarget.path);
   this->armExchange(aExchange);
   // The answer to HEAD names a length and has no body.
@@ -172,7 +172,7 @@
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
       aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
-    next = std::min(next, since + this->patienceOf(aExchange));
+    next = std::min(next, since + this->stallTimeoutOf(aExchange));
   }
   this->timers.arm(aExchange.id, next);
 }
@@ -204,7 +204,7 @@
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
       aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
-    if (this->now - since >= this->patienceOf(aExchange)) {
+    if (this->now - since >= this->stallTimeoutOf(aExchange)) {
       this->onOverdue(aExchange);
       return;
     }
@@ -228,7 +228,7 @@
     this->closeReplica(aExchange.connection);
     aExchange.connection = 0;
   }
-  this->unbook(aExchange);
+  this->removeLoad(aExchange);
   if (aMayHaveRun) {
     ++aExchange.runs;
   }
@@ -238,7 +238,7 @@
 void
 RelayLoop::Impl::endExchange(Exchange& aExchange)
 {
-  this->unbook(aExchange);
+  this->removeLoad(aExchange);
   this->waiting.leave(aExchange.id);
   this->timers.cancel(aExchange.id);
   this->exchanges.erase(aExchange.id);
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -59,7 +59,7 @@
     line.with("limit_milli", milliOf(*aExchange.namedLimit));
   }
   this->shared.log.write(line);
-  this->tellPeers(true);
+  this->broadcastStatus(true);
 }
 
 /** Whether a request may go to a replica, as far as it limits them. */
@@ -73,10 +73,10 @@
 void
 RelayLoop::Impl::shareLimits()
 {
-  std::vector<LimitSharer> heard;
-  heard.reserve(this->peersHeard.size());
-  for (const auto& [address, peer] : this->peersHeard) {
-    heard.push_back(LimitSharer{ address, peer.zone });
+  std::vector<RateLimitSharer> heard;
+  heard.reserve(this->knownPeers.size());
+  for (const auto& [address, peer] : this->knownPeers) {
+    heard.push_back(RateLimitSharer{ address, peer.zone });
   }
   this->replicaLimits.setOthers(std::move(heard),
                                 this->shared.peers.read()->size() + 1);
@@ -87,28 +87,28 @@
 }
 
 void
-RelayLoop::Impl::tellLimits(PeerWord& aWord) const
+RelayLoop::Impl::addLimits(PeerStatus& aStatus) const
 {
   constexpr double kNone = -1;
-  for (const LimitWord& word : this->replicaLimits.own(this->now)) {
-    aWord.limits.push_back(LimitRow{
-      word.replica, word.perSecond.value_or(kNone), word.age.count() });
+  for (const RateLimitReport& report : this->replicaLimits.own(this->now)) {
+    aStatus.limits.push_back(LimitRow{
+      report.replica, report.perSecond.value_or(kNone), report.age.count() });
   }
 }
 
 void
-RelayLoop::Impl::hearLimits(const PeerWord& aWord)
+RelayLoop::Impl::onPeerLimits(const PeerStatus& aStatus)
 {
-  for (const LimitRow& row : aWord.limits) {
+  for (const LimitRow& row : aStatus.limits) {
     const Replica* replica = this->replicaOf(row.replica);
     if (replica != nullptr) {
-      this->replicaLimits.onPeer(LimitWord{ row.replica,
-                                            row.perSecond < 0
-                                              ? std::optional<double>{}
-                                              : std::optional{ row.perSecond },
-                                            Duration{ row.age } },
-                                 replica->zone,
-                                 this->now);
+      this->replicaLimits.onPeer(
+        RateLimitReport{ row.replica,
+                         row.perSecond < 0 ? std::optional<double>{}
+                                           : std::optional{ row.perSecond },
+                         Duration{ row.age } },
+        replica->zone,
+        this->now);
     }
   }
 }
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -85,7 +85,7 @@
   , health(this->settings.heartbeat)
   , budgets(retryPolicy(this->settings))
   , crashWatch(this->settings.heartbeat * kHeartbeatsToTell)
-  , ownLife(randomRequestId().low)
+  , ownIncarnation(randomRequestId().low)
 {
 }
 
@@ -124,8 +124,8 @@
 void
 RelayLoop::Impl::start()
 {
-  this->shared.tellList = [this](const ListNews& aNews) {
-    this->post([this, aNews] { this->tellList(aNews); });
+  this->shared.sendListDelta = [this](const ReplicaListDelta& aDelta) {
+    this->post([this, aDelta] { this->sendListDelta(aDelta); });
   };
   this->thread = std::thread([this] { this->run(); });
 }
@@ -235,9 +235,9 @@
     return;
   }
   this->noteRestarted(*latest);
-  this->noteLeaving(*latest);
+  this->noteDraining(*latest);
   this->view = latest;
-  this->expireLeavingHeard();
+  this->expireDrainReports();
   std::set<std::string> listed;
   for (const Replica& replica : latest->replicas) {
     listed.insert(replica.id);
@@ -260,7 +260,7 @@
   for (const std::string& replica : this->health.named(this->now)) {
     lost.insert_or_assign(replica, true);
   }
-  for (const auto& [replica, pace] : this->health.crippled()) {
+  for (const auto& [replica, pace] : this->health.degraded()) {
     lost.insert_or_assign(replica, true);
   }
   for (const std::string& replica : this->reports.slow()) {
@@ -280,13 +280,13 @@
   }
   this->shared.lost.replace(
     std::make_shared<const RelayShared::LostReplicas>(lost));
-  bool news = false;
+  bool changed = false;
   for (const auto& [replica, certain] : lost) {
     const auto known = before->find(replica);
     if (known != before->end() && known->second == certain) {
       continue;
     }
-    news = true;
+    changed = true;
     this->shared.log.write(LogLine{ LogPart::Replicas, "lost" }
                              .with("replica", replica)
                              .with("named", certain ? 1 : 0));
@@ -294,17 +294,17 @@
       this->hurryThrough(replica);
     }
   }
-  if (news) {
+  if (changed) {
     // The next word would come after 200 ms; the streams of the other relays
     // stand still meanwhile.
-    this->tellPeers(true);
+    this->broadcastStatus(true);
   }
 }
 
 void
 RelayLoop::Impl::publishBusy()
 {
-  if (!this->shared.leads) {
+  if (!this->shared.holdsLease) {
     return;
   }
   std::set<std::string> busy;
@@ -323,17 +323,18 @@
   constexpr std::uint32_t kSecondOf = 5;
   this->refreshReplicas();
   this->loads.expirePeers(this->now);
-  std::erase_if(this->peersHeard, [this](const auto& aEntry) {
+  std::erase_if(this->knownPeers, [this](const auto& aEntry) {
     const bool silent = this->now - aEntry.second.heard > kPeerSilence;
     if (silent) {
-      this->pipes.forget(lifeName(aEntry.first, aEntry.second.echo.life));
+      this->links.forget(
+        incarnationName(aEntry.first, aEntry.second.echo.incarnation));
     }
     return silent;
   });
   this->shareLimits();
   this->chooseReaders();
   this->reports.expire(this->now);
-  this->expireLeavingHeard();
+  this->expireDrainReports();
   std::erase_if(this->ended, [this](const auto& aEntry) {
     return this->now - aEntry.second > kEndedForgotten;
   });
@@ -343,8 +344,8 @@
   this->budgets.setRelays(
     std::max(this->shared.peers.read()->size() + 1, kFewRelays));
   this->askSlowOnes();
-  this->moveOffLeaving();
-  this->tellPeers(false);
+  this->moveOffDraining();
+  this->broadcastStatus(false);
   this->closeStaleIdle(this->now);
   this->shared.log.flush();
   if (this->regularCount++ % kSecondOf == 0) {
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -17,16 +17,16 @@
 #include "../wire/TimerQueue.h"
 #include "CallerConnection.h"
 #include "Exchange.h"
-#include "PeerWord.h"
+#include "PeerStatus.h"
 #include "ReplicaConnection.h"
-#include "poplartrack/fleet/LoadBook.h"
+#include "poplartrack/fleet/LinkBudget.h"
+#include "poplartrack/fleet/LoadTracker.h"
 #include "poplartrack/fleet/LossReports.h"
 #include "poplartrack/fleet/PathFinder.h"
-#include "poplartrack/fleet/PipeBudget.h"
 #include "poplartrack/fleet/ReplicaHealth.h"
 #include "poplartrack/fleet/ReplicaLimits.h"
 #include "poplartrack/fleet/StoreReaders.h"
-#include "poplartrack/fleet/WaitingLine.h"
+#include "poplartrack/fleet/WaitQueue.h"
 #include "poplartrack/relay/RelayLoop.h"
 #include "poplartrack/relay/RequestGate.h"
 #include "poplartrack/retry/CrashLedger.h"
@@ -79,7 +79,7 @@
 
 /** Names one life of a relay's process. */
 std::string
-lifeName(const Address& aPeer, std::uint64_t aLife);
+incarnationName(const Address& aPeer, std::uint64_t aIncarnation);
 
 /** An order to move a running request to another path. */
 struct RepathOrder
@@ -201,7 +201,7 @@
 
   // RelayWaiting.cpp: requests without a path.
   [[nodiscard]] Waiter waiterOf(const Exchange& aExchange) const;
-  Result<AttemptTarget> chooseInLine(Exchange& aExchange);
+  Result<AttemptTarget> chooseQueued(Exchange& aExchange);
   void beginRound();
   void tryWaiting();
   bool mayWait(Exchange& aExchange, ErrorKind aReason);
@@ -227,8 +227,8 @@
   void noteLimit(Exchange& aExchange, const MessageHead& aHead);
   [[nodiscard]] bool takesRequests(const std::string& aReplica);
   void shareLimits();
-  void tellLimits(PeerWord& aWord) const;
-  void hearLimits(const PeerWord& aWord);
+  void addLimits(PeerStatus& aStatus) const;
+  void onPeerLimits(const PeerStatus& aStatus);
 
   // RelayChoice.cpp: where an attempt goes.
   Result<AttemptTarget> choose(Exchange& aExchange);
@@ -248,12 +248,12 @@
   [[nodiscard]] Result<LayerPath> findPathFor(const Exchange& aExchange,
                                               PathDemand aDemand);
   void payCrossings(const Exchange& aExchange, const LayerPath& aPath);
-  void book(Exchange& aExchange);
-  void unbook(Exchange& aExchange);
-  void endReading(Exchange& aExchange);
+  void addLoad(Exchange& aExchange);
+  void removeLoad(Exchange& aExchange);
+  void endPrefill(Exchange& aExchange);
 
   // RelayStall.cpp: work that stands still.
-  [[nodiscard]] Duration patienceOf(const Exchange& aExchange) const;
+  [[nodiscard]] Duration stallTimeoutOf(const Exchange& aExchange) const;
   void onOverdue(Exchange& aExchange);
   void ask(const PathPart& aPart, Duration aPause);
   void askRestOfPaths(const std::string& aFirst);
@@ -264,23 +264,23 @@
   [[nodiscard]] bool movesAt(const std::string& aReplica) const;
 
   // RelayRepair.cpp: moving requests off what was lost.
-  void onCulprit(const std::string& aReplica);
+  void onFaultyReplica(const std::string& aReplica);
   [[nodiscard]] std::vector<std::uint64_t> requestsThrough(
     const std::string& aReplica) const;
   void repair(Exchange& aExchange, bool aPlanned);
   void leaveFirst(Exchange& aExchange);
   void onRepath(const RepathOrder& aOrder, RepathOutcome aOutcome);
 
-  // RelayLeaving.cpp: replicas that leave.
-  void noteLeaving(const ReplicaView& aLatest);
+  // RelayDraining.cpp: replicas that leave.
+  void noteDraining(const ReplicaView& aLatest);
   void noteRestarted(const ReplicaView& aLatest);
-  void endLife(const std::string& aReplica);
-  [[nodiscard]] std::set<std::string> leavingReplicas() const;
-  void hearLeaving(const PeerWord& aWord);
-  void expireLeavingHeard();
+  void endIncarnation(const std::string& aReplica);
+  [[nodiscard]] std::set<std::string> drainingReplicas() const;
+  void onPeerDraining(const PeerStatus& aStatus);
+  void expireDrainReports();
   [[nodiscard]] bool leaves(const Replica& aReplica) const;
-  void moveOffLeaving();
-  [[nodiscard]] bool leavesSoon(const Exchange& aExchange) const;
+  void moveOffDraining();
+  [[nodiscard]] bool usesDrainingReplica(const Exchange& aExchange) const;
 
   // RelayCrashes.cpp: requests under which replicas end.
   void watchCrash(Exchange& aExchange, ConnectionEnd aEnd);
@@ -288,7 +288,7 @@
   void confirmCrashes();
   void onQuarantine(const Fingerprint& aRequest, bool aOwn);
   void stopQuarantined(const Fingerprint& aRequest);
-  [[nodiscard]] std::size_t placeInLine(const Fingerprint& aRequest) const;
+  [[nodiscard]] std::size_t trialRank(const Fingerprint& aRequest) const;
   [[nodiscard]] std::optional<Duration> quarantineLeft(
     Exchange& aExchange) const;
   void refuseQuarantined(Exchange& aExchange);
@@ -296,24 +296,26 @@
   void onReleased(const Fingerprint& aRequest);
   void publishQuarantine();
   void refreshQuarantine();
-  void tellCrashes(PeerWord& aWord) const;
-  void hearCrashes(const PeerWord& aWord);
+  void addCrashes(PeerStatus& aStatus) const;
+  void onPeerCrashes(const PeerStatus& aStatus);
 
   // RelayPeers.cpp: datagrams between relays.
   Result<Done> openPeers();
   void readPeers();
   void meet(const Address& aSender);
-  void tellPeers(bool aNews);
-  [[nodiscard]] PeerWord ownWord();
-  void sendWord(const Address& aPeer, std::string_view aWord) const;
-  void readWord(const char* aBytes, std::size_t aSize, const Address& aFrom);
-  void onPeerWord(const PeerWord& aWord,
-                  const PeerEcho& aEcho,
-                  const Address& aFrom);
+  void broadcastStatus(bool aChanged);
+  [[nodiscard]] PeerStatus ownStatus();
+  void sendDatagram(const Address& aPeer, std::string_view aDatagram) const;
+  void readDatagram(const char* aBytes,
+                    std::size_t aSize,
+                    const Address& aFrom);
+  void onPeerStatus(const PeerStatus& aStatus,
+                    const PeerEcho& aEcho,
+                    const Address& aFrom);
   [[nodiscard]] SharedRetryBudget& budgetOf(const Exchange& aExchange);
   void chooseReaders();
-  void tellList(const ListNews& aNews);
-  void learnFreshness(const PeerWord& aWord, const PeerEcho& aEcho);
+  void sendListDelta(const ReplicaListDelta& aDelta);
+  void learnFreshness(const PeerStatus& aStatus, const PeerEcho& aEcho);
 
   void logRequest(const Exchange& aExchange,
                   std::string_view aEvent,
@@ -345,11 +347,11 @@
 
   std::shared_ptr<const ReplicaView> view;
   ReplicaHealth health;
-  LoadBook loads;
+  LoadTracker loads;
   RetryBudgets budgets;
-  PipeBudget pipes;
+  LinkBudget links;
   ReplicaLimits replicaLimits;
-  WaitingLine waiting;
+  WaitQueue waiting;
   CrashWatch crashWatch;
   CrashLedger crashes;
   ServedContents servedContents;
@@ -358,30 +360,30 @@
   /** When the present round of the line began. */
   TimePoint roundAt{};
   /** This life of this process, as it names itself to other relays. */
-  std::uint64_t ownLife;
+  std::uint64_t ownIncarnation;
   /** The latest word of another relay. */
-  struct PeerHeard
+  struct PeerState
   {
     PeerEcho echo;
     std::string zone;
     TimePoint heard;
-    bool looks = false;
-    bool looksFail = false;
+    bool polls = false;
+    bool pollsFail = false;
   };
-  std::map<Address, PeerHeard> peersHeard;
+  std::map<Address, PeerState> knownPeers;
   /** Some relay knows its configuration to be the newest. */
   TimePoint peerFreshAt{};
   LossReports reports;
   /** Replicas that leave, and since when this relay knows. */
-  std::map<std::string, TimePoint> leavingSince;
+  std::map<std::string, TimePoint> drainingSince;
   /** Replicas of which a relay with a newer list told that they leave. */
-  struct LeavingWord
+  struct PeerDrainReport
   {
     /** Version of the teller's list. */
     std::uint64_t list;
     TimePoint heard;
   };
-  std::map<std::string, LeavingWord> leavingHeard;
+  std::map<std::string, PeerDrainReport> peerDrainReports;
   /** Replicas whose endpoint has started again, and since when this relay
    * knows. */
   std::map<std::string, TimePoint> ended;
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -13,9 +13,9 @@
 
 #include <msgpack.hpp>
 
-#include "ListWord.h"
-#include "PeerWord.h"
+#include "PeerStatus.h"
 #include "RelayLoopImpl.h"
+#include "ReplicaListUpdate.h"
 #include "poplartrack/base/TcpSocket.h"
 
 namespace poplartrack {
@@ -64,97 +64,98 @@
   return Done{};
 }
 
-PeerWord
-RelayLoop::Impl::ownWord()
+PeerStatus
+RelayLoop::Impl::ownStatus()
 {
-  PeerWord word;
-  word.life = this->ownLife;
-  word.zone = this->settings.zone;
-  word.sentAt = this->shared.clock.now().time_since_epoch().count();
+  PeerStatus status;
+  status.incarnation = this->ownIncarnation;
+  status.zone = this->settings.zone;
+  status.sentAt = this->shared.clock.now().time_since_epoch().count();
   for (const auto& [replica, load] : this->loads.own()) {
-    word.loads.push_back(
+    status.loads.push_back(
       LoadRow{ replica,
                load.requests,
                static_cast<std::uint32_t>(std::max(0.0, load.tokenLayers)),
-               static_cast<std::uint32_t>(load.readingTokens),
-               load.entered });
+               static_cast<std::uint32_t>(load.prefillTokens),
+               load.pathStarts });
   }
   for (const std::string& replica : this->health.named(this->now)) {
-    word.lost.push_back(replica);
+    status.lost.push_back(replica);
   }
   for (const auto& [replica, since] : this->ended) {
-    word.lost.push_back(replica);
+    status.lost.push_back(replica);
   }
-  for (const std::string& replica : this->leavingReplicas()) {
-    word.leaving.push_back(replica);
+  for (const std::string& replica : this->drainingReplicas()) {
+    status.draining.push_back(replica);
   }
   for (const std::string& replica : this->health.lost(this->now)) {
-    word.unreachable.push_back(replica);
+    status.unreachable.push_back(replica);
   }
-  word.slow = this->health.crippled();
+  status.slow = this->health.degraded();
   const auto config = this->shared.config.read();
   const Duration age = this->shared.freshness.age();
-  word.config = config ? config->version : 0;
-  word.configAge = age == Duration::max() ? -1 : age.count();
-  word.list = this->view->changed;
-  word.looks = this->shared.looks;
-  word.looksFail = this->shared.looksFail;
-  word.leads = this->shared.leads;
-  word.gaveUp = this->shared.fenceGivenUp;
+  status.config = config ? config->version : 0;
+  status.configAge = age == Duration::max() ? -1 : age.count();
+  status.list = this->view->changed;
+  status.polls = this->shared.polls;
+  status.pollsFail = this->shared.pollsFail;
+  status.holdsLease = this->shared.holdsLease;
+  status.releasedFence = this->shared.releasedFence;
   for (auto& [service, budget] : this->budgets.all()) {
     const RetryCounts counts = budget.own(this->now);
-    word.retries.push_back(
+    status.retries.push_back(
       RetryRow{ service, counts.requests, counts.retries });
   }
-  for (const auto& [zones, bytes] : this->pipes.own()) {
-    word.pipes.push_back(
-      PipeRow{ zones.first, zones.second, bytes / kBytesPerKilobyte });
+  for (const auto& [zones, bytes] : this->links.own()) {
+    status.links.push_back(
+      LinkRow{ zones.first, zones.second, bytes / kBytesPerKilobyte });
   }
-  this->tellCrashes(word);
-  this->tellLimits(word);
-  return word;
+  this->addCrashes(status);
+  this->addLimits(status);
+  return status;
 }
 
 /** Tells all other relays; those of other zones, unless there is news, in every
  * second round: what is told there is work at replicas that are seldom shared,
  * and bytes between zones are dear. */
 void
-RelayLoop::Impl::tellPeers(bool aNews)
+RelayLoop::Impl::broadcastStatus(bool aChanged)
 {
   const auto peers = this->shared.peers.read();
   if (peers->empty()) {
     return;
   }
   msgpack::sbuffer bytes;
-  msgpack::pack(bytes, this->ownWord());
+  msgpack::pack(bytes, this->ownStatus());
   if (bytes.size() > kMostBytes) {
     this->shared.metrics.count("peer_words_too_large_total");
     return;
   }
-  const bool all = aNews || this->regularCount % 2 == 0;
+  const bool all = aChanged || this->regularCount % 2 == 0;
   for (const Address& peer : *peers) {
-    const auto heard = this->peersHeard.find(peer);
-    const bool near = heard == this->peersHeard.end() ||
+    const auto heard = this->knownPeers.find(peer);
+    const bool near = heard == this->knownPeers.end() ||
                       heard->second.zone == this->settings.zone;
     if (all || near) {
-      this->sendWord(peer, { bytes.data(), bytes.size() });
+      this->sendDatagram(peer, { bytes.data(), bytes.size() });
     }
   }
 }
 
 /** Sends the word with the peer's own echo behind it. */
 void
-RelayLoop::Impl::sendWord(const Address& aPeer, std::string_view aWord) const
+RelayLoop::Impl::sendDatagram(const Address& aPeer,
+                              std::string_view aDatagram) const
 {
   const auto address = toSocketAddress(aPeer);
   if (!address) {
     return;
   }
-  const auto heard = this->peersHeard.find(aPeer);
+  const auto heard = this->knownPeers.find(aPeer);
   msgpack::sbuffer bytes;
-  bytes.write(aWord.data(), aWord.size());
+  bytes.write(aDatagram.data(), aDatagram.size());
   msgpack::pack(
-    bytes, heard == this->peersHeard.end() ? PeerEcho{} : heard->second.echo);
+    bytes, heard == this->knownPeers.end() ? PeerEcho{} : heard->second.echo);
   // A datagram that is lost is followed by a newer one.
   static_cast<void>(::sendto(this->peerSocket.get(),
                              bytes.data(),
@@ -170,30 +171,30 @@
 RelayLoop::Impl::chooseReaders()
 {
   std::vector<StoreReader> heard;
-  for (const auto& [address, peer] : this->peersHeard) {
+  for (const auto& [address, peer] : this->knownPeers) {
     if (this->now - peer.heard < kReaderSilence) {
       heard.push_back(
-        StoreReader{ address, peer.zone, peer.looks, peer.looksFail });
+        StoreReader{ address, peer.zone, peer.polls, peer.pollsFail });
     }
   }
   const StoreReader own{ this->localPeers,
                          this->settings.zone,
-                         this->shared.looks,
-                         this->shared.looksFail };
-  const bool looks = shallLook(own, heard);
-  if (this->shared.looks.exchange(looks) != looks) {
-    this->shared.metrics.set("store_reader", looks ? 1 : 0);
+                         this->shared.polls,
+                         this->shared.pollsFail };
+  const bool polls = shouldPoll(own, heard);
+  if (this->shared.polls.exchange(polls) != polls) {
+    this->shared.metrics.set("store_reader", polls ? 1 : 0);
     this->shared.log.write(
-      LogLine{ LogPart::Store, looks ? "reads" : "hears" }
+      LogLine{ LogPart::Store, polls ? "reads" : "hears" }
         .with("relays", static_cast<std::int64_t>(heard.size()))
-        .with("last_look_failed", own.fails ? 1 : 0));
+        .with("last_look_failed", own.pollsFail ? 1 : 0));
   }
-  this->shared.readersHeard = static_cast<std::size_t>(
+  this->shared.storeReaders = static_cast<std::size_t>(
     std::count_if(heard.begin(), heard.end(), [](const StoreReader& aOther) {
-      return aOther.looks;
+      return aOther.polls;
     }));
-  if (storeIsAway(heard)) {
-    this->shared.outageHeard =
+  if (storeIsUnavailable(heard)) {
+    this->shared.peersSawOutageAt =
       this->shared.clock.now().time_since_epoch().count();
   }
 }
@@ -201,17 +202,17 @@
 /** Tells the relays of the own zone what changed in the list: in each zone some
  * relay looks. One that misses it hears of the version and reads the list. */
 void
-RelayLoop::Impl::tellList(const ListNews& aNews)
+RelayLoop::Impl::sendListDelta(const ReplicaListDelta& aDelta)
 {
   msgpack::sbuffer bytes;
-  msgpack::pack(bytes, listWord(aNews));
+  msgpack::pack(bytes, updateOf(aDelta));
   if (bytes.size() > kMostBytes) {
     this->shared.metrics.count("list_words_too_large_total");
     return;
   }
-  for (const auto& [address, peer] : this->peersHeard) {
+  for (const auto& [address, peer] : this->knownPeers) {
     if (peer.zone == this->settings.zone) {
-      this->sendWord(address, { bytes.data(), bytes.size() });
+      this->sendDatagram(address, { bytes.data(), bytes.size() });
     }
   }
 }
@@ -248,25 +249,27 @@
  * old.
  */
 void
-RelayLoop::Impl::learnFreshness(const PeerWord& aWord, const PeerEcho& aEcho)
+RelayLoop::Impl::learnFreshness(const PeerStatus& aStatus,
+                                const PeerEcho& aEcho)
 {
-  if (aWord.configAge >= 0 &&
-      Duration{ aWord.configAge } <= this->gate.keyAge) {
+  if (aStatus.configAge >= 0 &&
+      Duration{ aStatus.configAge } <= this->gate.keyAge) {
     this->peerFreshAt = this->now;
   }
   const auto config = this->shared.config.read();
-  const bool same = config != nullptr && config->version == aWord.config;
-  if (!same || aEcho.life != this->ownLife || aWord.configAge < 0) {
+  const bool same = config != nullptr && config->version == aStatus.config;
+  if (!same || aEcho.incarnation != this->ownIncarnation ||
+      aStatus.configAge < 0) {
     return;
   }
-  const TimePoint proved{ Duration{ aEcho.sentAt - aWord.configAge } };
+  const TimePoint proved{ Duration{ aEcho.sentAt - aStatus.configAge } };
   this->shared.freshness.prove(std::min(proved, this->shared.clock.now()));
 }
 
 std::string
-lifeName(const Address& aPeer, std::uint64_t aLife)
+incarnationName(const Address& aPeer, std::uint64_t aIncarnation)
 {
-  return toText(aPeer) + "/" + std::to_string(aLife);
+  return toText(aPeer) + "/" + std::to_string(aIncarnation);
 }
 
 SharedRetryBudget&
@@ -277,17 +280,17 @@
 }
 
 void
-RelayLoop::Impl::onPeerWord(const PeerWord& aWord,
-                            const PeerEcho& aEcho,
-                            const Address& aFrom)
+RelayLoop::Impl::onPeerStatus(const PeerStatus& aStatus,
+                              const PeerEcho& aEcho,
+                              const Address& aFrom)
 {
-  this->peersHeard[aFrom] = PeerHeard{ { aWord.life, aWord.sentAt },
-                                       aWord.zone,
+  this->knownPeers[aFrom] = PeerState{ { aStatus.incarnation, aStatus.sentAt },
+                                       aStatus.zone,
                                        this->now,
-                                       aWord.looks,
-                                       aWord.looksFail };
-  if (aWord.leads) {
-    this->shared.leaderHeard =
+                                       aStatus.polls,
+                                       aStatus.pollsFail };
+  if (aStatus.holdsLease) {
+    this->shared.leaderSeenAt =
       this->shared.clock.now().time_since_epoch().count();
   }
   const auto raise = [](std::atomic<std::uint64_t>& aMost,
@@ -296,73 +299,74 @@
       aMost = aValue;
     }
   };
-  raise(this->shared.configHeard, aWord.config);
-  raise(this->shared.listHeard, aWord.list);
-  if (aWord.gaveUp > this->shared.fenceFreed) {
-    this->shared.fenceFreed = aWord.gaveUp;
+  raise(this->shared.peerConfigVersion, aStatus.config);
+  raise(this->shared.peerListVersion, aStatus.list);
+  if (aStatus.releasedFence > this->shared.peerReleasedFence) {
+    this->shared.peerReleasedFence = aStatus.releasedFence;
     // Nobody leads: the next look at the lease need not wait for silence.
-    this->shared.leaderHeard = 0;
+    this->shared.leaderSeenAt = 0;
   }
-  this->learnFreshness(aWord, aEcho);
-  this->hearLeaving(aWord);
-  this->hearCrashes(aWord);
-  this->hearLimits(aWord);
+  this->learnFreshness(aStatus, aEcho);
+  this->onPeerDraining(aStatus);
+  this->onPeerCrashes(aStatus);
+  this->onPeerLimits(aStatus);
   const std::string peer = toText(aFrom);
   // A process that starts again at an address has counted nothing yet. What the
   // one before it spent still counts.
-  const std::string life = lifeName(aFrom, aWord.life);
-  for (const RetryRow& row : aWord.retries) {
+  const std::string incarnation = incarnationName(aFrom, aStatus.incarnation);
+  for (const RetryRow& row : aStatus.retries) {
     this->budgets.of(row.service)
-      .onPeer(life, RetryCounts{ row.requests, row.retries }, this->now);
+      .onPeer(incarnation, RetryCounts{ row.requests, row.retries }, this->now);
   }
-  PipeTotals totals;
-  for (const PipeRow& row : aWord.pipes) {
+  LinkTotals totals;
+  for (const LinkRow& row : aStatus.links) {
     totals.emplace(zonePair(row.one, row.other),
                    row.kilobytes * kBytesPerKilobyte);
   }
-  this->pipes.onPeer(life, totals, this->now);
+  this->links.onPeer(incarnation, totals, this->now);
   LoadTable table;
-  for (const LoadRow& row : aWord.loads) {
+  for (const LoadRow& row : aStatus.loads) {
     table.emplace(row.replica,
                   ReplicaLoad{ row.requests,
                                static_cast<double>(row.tokenLayers),
-                               static_cast<double>(row.readingTokens),
-                               row.entered });
+                               static_cast<double>(row.prefillTokens),
+                               row.pathStarts });
   }
   this->loads.onPeer(peer, std::move(table), this->now);
-  LossReport report{ { aWord.lost.begin(), aWord.lost.end() },
-                     { aWord.unreachable.begin(), aWord.unreachable.end() },
-                     aWord.slow };
+  LossReport report{ { aStatus.lost.begin(), aStatus.lost.end() },
+                     { aStatus.unreachable.begin(), aStatus.unreachable.end() },
+                     aStatus.slow };
   if (this->reports.onPeer(peer, std::move(report), this->now)) {
     this->publishLost();
   }
 }
 
 void
-RelayLoop::Impl::readWord(const char* aBytes,
-                          std::size_t aSize,
-                          const Address& aFrom)
+RelayLoop::Impl::readDatagram(const char* aBytes,
+                              std::size_t aSize,
+                              const Address& aFrom)
 {
-  PeerWord word;
+  PeerStatus status;
   PeerEcho echo;
   try {
     std::size_t at = 0;
     const msgpack::object_handle first = msgpack::unpack(aBytes, aSize, at);
     if (formatOf(first.get()) == kListFormat) {
-      if (auto news = newsOf(first.get().as<ListWord>())) {
-        this->shared.listInbox.push(std::move(*news));
+      if (auto delta = deltaOf(first.get().as<ReplicaListUpdate>())) {
+        this->shared.listInbox.push(std::move(*delta));
       }
       return;
     }
-    first.get().convert(word);
+    first.get().convert(status);
     msgpack::unpack(aBytes, aSize, at).get().convert(echo);
   } catch (const std::exception&) {
     this->shared.metrics.count("peer_words_unreadable_total");
     return;
   }
-  if (word.format == kPeerFormat && word.life != this->ownLife) {
+  if (status.format == kPeerFormat &&
+      status.incarnation != this->ownIncarnation) {
     this->meet(aFrom);
-    this->onPeerWord(word, echo, aFrom);
+    this->onPeerStatus(status, echo, aFrom);
   }
 }
 
@@ -383,7 +387,7 @@
     if (count <= 0) {
       return;
     }
-    this->readWord(
+    this->readDatagram(
       bytes.data(), static_cast<std::size_t>(count), fromSocketAddress(from));
   }
 }
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -8,7 +8,7 @@
 namespace poplartrack {
 /** A replica is lost: all work that passes through it is moved. */
 void
-RelayLoop::Impl::onCulprit(const std::string& aReplica)
+RelayLoop::Impl::onFaultyReplica(const std::string& aReplica)
 {
   this->publishLost();
   for (const std::uint64_t id : this->requestsThrough(aReplica)) {
@@ -60,7 +60,7 @@
   // One that refused a request, as full, lives and runs what it has.
   const bool firstLives = !this->health.dead(first.replica, this->now) &&
                           !this->isLost(first.replica);
-  if (this->leavingSince.contains(first.replica)) {
+  if (this->drainingSince.contains(first.replica)) {
     this->leaveFirst(aExchange);
     return;
   }
@@ -71,7 +71,7 @@
     return;
   }
   // Its own memory on the old path is not in the way of the new one.
-  this->unbook(aExchange);
+  this->removeLoad(aExchange);
   const Result<AttemptTarget> target =
     this->choosePath(aExchange, first.replica);
   const bool crosses = !target || target.value().path.crossings.size() >
@@ -93,7 +93,7 @@
     return;
   }
   if (!target) {
-    this->book(aExchange);
+    this->addLoad(aExchange);
     this->shared.log.write(LogLine{ LogPart::Path, "no_repair" }
                              .with("id", aExchange.requestId)
                              .with("reason", describe(target.error())));
@@ -106,7 +106,7 @@
     aExchange.id, aExchange.path, target.value().path, aPlanned
   };
   aExchange.path = order.after;
-  this->book(aExchange);
+  this->addLoad(aExchange);
   this->payCrossings(aExchange, order.after);
   this->calls.repath(
     first.address,
@@ -165,9 +165,9 @@
   if (aOrder.planned || !mayResume) {
     // It is where it was. A stream that was to leave in time still runs there,
     // and is tried again; ending its attempt cut streams that lacked nothing.
-    this->unbook(exchange);
+    this->removeLoad(exchange);
     exchange.path = aOrder.before;
-    this->book(exchange);
+    this->addLoad(exchange);
     exchange.repairedAt.reset();
     return;
   }
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -43,7 +43,7 @@
 
 /** How long the present attempt may stand still before its replica is asked. */
 Duration
-RelayLoop::Impl::patienceOf(const Exchange& aExchange) const
+RelayLoop::Impl::stallTimeoutOf(const Exchange& aExchange) const
 {
   const bool begun = aExchange.streaming && aExchange.events > 0;
   const Duration expected = begun ? aExchange.path.perToken * kTokensPerEvent
@@ -71,7 +71,7 @@
          std::any_of(parts.begin(), parts.end(), [&](const PathPart& aPart) {
            const auto found = lost->find(aPart.replica);
            return found != lost->end() && found->second &&
-                  this->slowdownOf(aPart.replica) < kCrippled;
+                  this->slowdownOf(aPart.replica) < kDegradedSlowdown;
          });
 }
 
@@ -158,20 +158,20 @@
   if (!aReport.reached && this->movesAt(aReplica)) {
     // Too busy to answer in time, but its streams move: taking it for dead
     // used up the attempts of all of them.
-    this->health.onPace(aReplica, kCrippled);
+    this->health.onPace(aReplica, kDegradedSlowdown);
     return;
   }
   if (!aReport.reached) {
     this->health.onPace(aReplica, 1);
     this->health.onFailure(aReplica, ReplicaFailure::Unreachable, this->now);
-    this->onCulprit(aReplica);
+    this->onFaultyReplica(aReplica);
     return;
   }
   const Replica* listed = this->replicaOf(aReplica);
-  if (listed != nullptr && listed->born != 0 && aReport.born != 0 &&
-      listed->born != aReport.born) {
+  if (listed != nullptr && listed->startedAtMs != 0 &&
+      aReport.startedAtMs != 0 && listed->startedAtMs != aReport.startedAtMs) {
     // It has started again, and the list does not tell yet.
-    this->endLife(aReplica);
+    this->endIncarnation(aReplica);
     return;
   }
   // What runs there goes on, slower: moving hundreds of streams at once would
@@ -181,15 +181,15 @@
     this->askRestOfPaths(aReplica);
     return;
   }
-  std::set<std::string> culprits;
+  std::set<std::string> blockedOn;
   for (const StalledWork& work : aReport.stalled) {
-    if (const Replica* replica = this->replicaAt(work.culprit)) {
-      culprits.insert(replica->id);
+    if (const Replica* replica = this->replicaAt(work.blockedOn)) {
+      blockedOn.insert(replica->id);
     }
   }
-  for (const std::string& culprit : culprits) {
-    this->health.onFailure(culprit, ReplicaFailure::Stalled, this->now);
-    this->onCulprit(culprit);
+  for (const std::string& replica : blockedOn) {
+    this->health.onFailure(replica, ReplicaFailure::Stalled, this->now);
+    this->onFaultyReplica(replica);
   }
 }
 
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -39,7 +39,7 @@
 /** Chooses where the next attempt goes, unless one that needs no more has just
  * been told that there is nothing. */
 Result<AttemptTarget>
-RelayLoop::Impl::chooseInLine(Exchange& aExchange)
+RelayLoop::Impl::chooseQueued(Exchange& aExchange)
 {
   if (aExchange.service == nullptr || !aExchange.service->engine) {
     return this->choose(aExchange);
--- a/src/relay/ListWord.cpp
+++ b/src/relay/ReplicaListUpdate.cpp
@@ -1,4 +1,4 @@
-#include "ListWord.h"
+#include "ReplicaListUpdate.h"
 
 namespace poplartrack {
 namespace {
@@ -8,7 +8,7 @@
 {
   ReplicaRow row;
   row.registeredAs = aReplica.registeredAs;
-  row.born = aReplica.born;
+  row.startedAtMs = aReplica.startedAtMs;
   row.service = aReplica.service;
   row.address = toText(aReplica.address);
   row.zone = aReplica.zone;
@@ -29,9 +29,9 @@
     return std::nullopt;
   }
   Replica replica;
-  replica.id = replicaId(aRow.registeredAs, aRow.born);
+  replica.id = replicaId(aRow.registeredAs, aRow.startedAtMs);
   replica.registeredAs = aRow.registeredAs;
-  replica.born = aRow.born;
+  replica.startedAtMs = aRow.startedAtMs;
   replica.service = aRow.service;
   replica.address = address.value();
   replica.zone = aRow.zone;
@@ -47,43 +47,43 @@
 
 } // namespace
 
-ListWord
-listWord(const ListNews& aNews)
+ReplicaListUpdate
+updateOf(const ReplicaListDelta& aDelta)
 {
-  ListWord word;
-  word.after = aNews.after;
-  word.next = aNews.poll.next;
-  word.changed = aNews.poll.changed;
-  for (const Replica& replica : aNews.poll.present) {
-    word.present.push_back(rowOf(replica));
+  ReplicaListUpdate update;
+  update.after = aDelta.after;
+  update.next = aDelta.poll.next;
+  update.changed = aDelta.poll.changed;
+  for (const Replica& replica : aDelta.poll.present) {
+    update.present.push_back(rowOf(replica));
   }
-  word.gone = aNews.poll.gone;
-  for (const UnreadableEntry& entry : aNews.poll.unreadable) {
-    word.unreadable.push_back(entry.name);
+  update.removed = aDelta.poll.removed;
+  for (const UnreadableEntry& entry : aDelta.poll.unreadable) {
+    update.unreadable.push_back(entry.name);
   }
-  return word;
+  return update;
 }
 
-std::optional<ListNews>
-newsOf(const ListWord& aWord)
+std::optional<ReplicaListDelta>
+deltaOf(const ReplicaListUpdate& aUpdate)
 {
-  ListNews news;
-  news.after = aWord.after;
-  news.poll.next = aWord.next;
-  news.poll.changed = aWord.changed;
-  for (const ReplicaRow& row : aWord.present) {
+  ReplicaListDelta delta;
+  delta.after = aUpdate.after;
+  delta.poll.next = aUpdate.next;
+  delta.poll.changed = aUpdate.changed;
+  for (const ReplicaRow& row : aUpdate.present) {
     std::optional<Replica> replica = replicaOf(row);
     if (!replica) {
       return std::nullopt;
     }
-    news.poll.present.push_back(std::move(*replica));
+    delta.poll.present.push_back(std::move(*replica));
   }
-  news.poll.gone = aWord.gone;
-  for (const std::string& name : aWord.unreadable) {
-    news.poll.unreadable.push_back(
+  delta.poll.removed = aUpdate.removed;
+  for (const std::string& name : aUpdate.unreadable) {
+    delta.poll.unreadable.push_back(
       UnreadableEntry{ name, "another relay cannot read it" });
   }
-  return news;
+  return delta;
 }
 
 } // namespace poplartrack
--- a/src/store/LeaseState.cpp
+++ b/src/store/LeaseState.cpp
@@ -98,7 +98,7 @@
   this->lose();
   this->dueAt = aNow;
   if (!this->mayTake(aNow)) {
-    this->dueAt = aNow + this->settings.lookEvery;
+    this->dueAt = aNow + this->settings.pollInterval;
     if (this->record) {
       this->dueAt =
         std::min(this->dueAt, this->firstSeen + this->record->duration);
@@ -128,7 +128,7 @@
 {
   this->dueAt = aNow + (this->holding ? this->settings.renewEvery /
                                           kUnavailablePartOfRenewal
-                                      : this->settings.lookEvery);
+                                      : this->settings.pollInterval);
 }
 
 TableWrite
--- a/tests/unit/fleet/FleetSamples.h
+++ b/tests/unit/fleet/FleetSamples.h
@@ -21,11 +21,11 @@
   profile.tokenBytes = 2e5;
   profile.stepMs = 1;
   profile.perRequestMs = 0.01;
-  profile.readPerSecond = 100'000;
+  profile.prefillPerSecond = 100'000;
   profile.activationBytes = 20'000;
-  profile.pipeMbps = 8'000;
-  profile.usualPrompt = 800;
-  profile.usualAnswer = 200;
+  profile.linkMbps = 8'000;
+  profile.meanPromptTokens = 800;
+  profile.meanAnswerTokens = 200;
   profile.loadTime = std::chrono::seconds{ 10 };
   profile.kinds["fast"] = AcceleratorKind{ 1'600, 2, 2 };
   profile.kinds["slow"] = AcceleratorKind{ 1'000, 10, 10 };
--- a/tests/unit/fleet/LayerPlannerTest.cpp
+++ b/tests/unit/fleet/LayerPlannerTest.cpp
@@ -22,10 +22,10 @@
   {
   }
 
-  std::vector<LayerOrder> plan(bool aInDoubt = false)
+  std::vector<LayerOrder> plan(bool aUncertain = false)
   {
     return this->planner.plan(
-      this->profile, this->replicas, aInDoubt, this->busy, this->clock.now());
+      this->profile, this->replicas, aUncertain, this->busy, this->clock.now());
   }
   /** Plans after a pause. */
   std::vector<LayerOrder> planAfter(Duration aPause)
@@ -139,7 +139,7 @@
 answersOf(const Fleet& aFleet, const std::string& aZone)
 {
   const EngineProfile& profile = aFleet.profile;
-  const double usual = profile.usualPrompt + profile.usualAnswer;
+  const double usual = profile.meanPromptTokens + profile.meanAnswerTokens;
   double requests = profile.slots;
   double slowness = 0;
   for (const Replica& replica : aFleet.replicas) {
@@ -155,7 +155,7 @@
   }
   const double tokenMs =
     slowness * (profile.stepMs + requests * profile.perRequestMs);
-  return 1'000 * requests / (tokenMs * profile.usualAnswer);
+  return 1'000 * requests / (tokenMs * profile.meanAnswerTokens);
 }
 
 TEST(LayerPlanner, ACopyIsCutForTheMostAnswersAndTheMostRequestsOfAllSlots)
@@ -168,7 +168,7 @@
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   const EngineProfile& profile = fleet.profile;
-  const double usual = profile.usualPrompt + profile.usualAnswer;
+  const double usual = profile.meanPromptTokens + profile.meanAnswerTokens;
   for (const Replica& replica : fleet.replicas) {
     const double free = profile.kinds.at(replica.kind).memoryMb -
                         profile.layerMb * replica.layers->size();
--- a/tests/unit/fleet/PipeBudgetTest.cpp
+++ b/tests/unit/fleet/LinkBudgetTest.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/PipeBudget.h"
+#include "poplartrack/fleet/LinkBudget.h"
 
 #include <gtest/gtest.h>
 
@@ -7,45 +7,45 @@
 
 using std::chrono::milliseconds;
 
-const ZonePair kPipe = zonePair("b", "a");
+const ZonePair kLink = zonePair("b", "a");
 const ZonePair kOther = zonePair("a", "c");
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 constexpr double kShare = 1e6;
 
-TEST(PipeBudgetTest, APipeIsClosedUntilWhatWasSentIsPaidFor)
+TEST(LinkBudgetTest, APipeIsClosedUntilWhatWasSentIsPaidFor)
 {
-  PipeBudget budget;
+  LinkBudget budget;
   budget.setRate(kShare);
   EXPECT_TRUE(budget.closed(kStart).empty());
   // Twice the share of a second, less what stood ready for 200 ms of it.
-  budget.take(kPipe, 2 * kShare, kStart);
+  budget.take(kLink, 2 * kShare, kStart);
   EXPECT_TRUE(budget.closed(kStart).contains(zonePair("a", "b")));
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kPipe));
+  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kLink));
   EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'810 }).empty());
 }
 
-TEST(PipeBudgetTest, EachPipeHasABucketOfItsOwn)
+TEST(LinkBudgetTest, EachPipeHasABucketOfItsOwn)
 {
-  PipeBudget budget;
+  LinkBudget budget;
   budget.setRate(kShare);
-  budget.take(kPipe, 2 * kShare, kStart);
+  budget.take(kLink, 2 * kShare, kStart);
   EXPECT_FALSE(budget.closed(kStart).contains(kOther));
 }
 
-TEST(PipeBudgetTest, ManyStreamsAtOnceCannotHoldThePipeForLong)
+TEST(LinkBudgetTest, ManyStreamsAtOnceCannotHoldThePipeForLong)
 {
   // A zone loses a layer under seventy streams. Each asks for a path through
   // another zone in the same instant; all of them would hold the pipe for
   // seconds. No more may start than are paid for within a second.
-  PipeBudget budget;
+  LinkBudget budget;
   budget.setRate(kShare);
   constexpr double kPrompt = kShare / 4;
   TimePoint now = kStart;
   int sent = 0;
   for (int round = 0; round < 10; ++round) {
     for (int stream = 0; stream < 70; ++stream) {
-      if (!budget.closed(now).contains(kPipe)) {
-        budget.take(kPipe, kPrompt, now);
+      if (!budget.closed(now).contains(kLink)) {
+        budget.take(kLink, kPrompt, now);
         ++sent;
       }
     }
@@ -55,35 +55,35 @@
   EXPECT_LE(sent * kPrompt, 1.5 * kShare);
 }
 
-TEST(PipeBudgetTest, WhatAnotherRelaySentIsBookedOnceAndFromItsFirstWordOn)
+TEST(LinkBudgetTest, WhatAnotherRelaySentIsBookedOnceAndFromItsFirstWordOn)
 {
   // Two relays send across one pipe. A word may be lost or come twice; each
   // tells the total since the start, so the next one brings what was missed.
-  PipeBudget budget;
+  LinkBudget budget;
   budget.setRate(kShare);
   const auto total = [](double aSeconds) {
-    return PipeTotals{ { kPipe,
+    return LinkTotals{ { kLink,
                          static_cast<std::uint64_t>(aSeconds * kShare) } };
   };
   budget.onPeer("other", total(100), kStart);
   EXPECT_TRUE(budget.closed(kStart).empty());
   budget.onPeer("other", total(102), kStart);
   budget.onPeer("other", total(102), kStart);
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kPipe));
+  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kLink));
   EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'810 }).empty());
   EXPECT_TRUE(budget.own().empty());
 }
 
-TEST(PipeBudgetTest, TellsHowLongAPipeIsBusy)
+TEST(LinkBudgetTest, TellsHowLongAPipeIsBusy)
 {
-  PipeBudget budget;
+  LinkBudget budget;
   budget.setRate(kShare);
   EXPECT_TRUE(budget.waits(kStart).empty());
-  budget.take(kPipe, kShare / 10, kStart);
-  EXPECT_EQ(budget.waits(kStart).at(kPipe), milliseconds{ 100 });
-  EXPECT_EQ(budget.waits(kStart + milliseconds{ 60 }).at(kPipe),
+  budget.take(kLink, kShare / 10, kStart);
+  EXPECT_EQ(budget.waits(kStart).at(kLink), milliseconds{ 100 });
+  EXPECT_EQ(budget.waits(kStart + milliseconds{ 60 }).at(kLink),
             milliseconds{ 40 });
-  EXPECT_EQ(budget.own().at(kPipe), 100'000U);
+  EXPECT_EQ(budget.own().at(kLink), 100'000U);
 }
 
 } // namespace
--- a/tests/unit/fleet/PathFinderTest.cpp
+++ b/tests/unit/fleet/PathFinderTest.cpp
@@ -60,7 +60,7 @@
   auto candidates = candidatesOf(replicas);
   ReplicaLoad full;
   full.requests = 8;
-  full.entered = 8;
+  full.pathStarts = 8;
   candidates[0].load = full;
   const auto path = findPath(smallProfile(), candidates, demandIn("a"));
   ASSERT_TRUE(path);
@@ -161,14 +161,14 @@
   auto replicas = twoZones();
   replicas.erase(replicas.begin() + 3);
   auto candidates = candidatesOf(replicas);
-  candidates[1].load.readingTokens = 900;
-  candidates[2].load.readingTokens = 900;
+  candidates[1].load.prefillTokens = 900;
+  candidates[2].load.prefillTokens = 900;
   EngineProfile profile = smallProfile();
-  profile.pipeMbps = 32'000;
+  profile.linkMbps = 32'000;
   const auto wide = findPath(profile, candidates, demandIn("b"));
   ASSERT_TRUE(wide);
   EXPECT_EQ(wide.value().crossings.size(), 1U);
-  profile.pipeMbps = 2'000;
+  profile.linkMbps = 2'000;
   const auto narrow = findPath(profile, candidates, demandIn("b"));
   ASSERT_TRUE(narrow);
   EXPECT_TRUE(narrow.value().crossings.empty());
@@ -184,9 +184,9 @@
     holding("c1", "c", { 6, 13 }),  holding("c2", "c", { 13, 20 })
   };
   PathDemand demand = demandIn("a");
-  demand.mostCrossings = 1;
+  demand.maxCrossings = 1;
   auto candidates = candidatesOf(replicas);
-  candidates[4].load.readingTokens = 9'000;
+  candidates[4].load.prefillTokens = 9'000;
   const auto path = findPath(smallProfile(), candidates, demand);
   ASSERT_TRUE(path);
   EXPECT_EQ(path.value().crossings.size(), 1U);
@@ -304,7 +304,7 @@
   const auto replicas = twoZones();
   auto candidates = candidatesOf(replicas);
   for (std::size_t i = 0; i < 3; ++i) {
-    candidates[i].load.readingTokens = 4'000;
+    candidates[i].load.prefillTokens = 4'000;
   }
   const auto path = findPath(smallProfile(), candidates, demandIn("a"));
   ASSERT_TRUE(path);
--- a/tests/unit/fleet/ReplicaHealthTest.cpp
+++ b/tests/unit/fleet/ReplicaHealthTest.cpp
@@ -71,9 +71,9 @@
   ReplicaHealth health{ kHeartbeat };
   health.onPace("slow", 12);
   health.onPace("well", 1.1);
-  EXPECT_EQ(health.crippled().size(), 1U);
+  EXPECT_EQ(health.degraded().size(), 1U);
   health.onPace("slow", 1);
-  EXPECT_TRUE(health.crippled().empty());
+  EXPECT_TRUE(health.degraded().empty());
 }
 
 Replica
--- a/tests/unit/fleet/ReplicaLimitsTest.cpp
+++ b/tests/unit/fleet/ReplicaLimitsTest.cpp
@@ -33,15 +33,15 @@
   explicit Relays(std::size_t aRelays)
     : limits(aRelays)
   {
-    std::vector<LimitSharer> all;
+    std::vector<RateLimitSharer> all;
     for (std::size_t i = 0; i < aRelays; ++i) {
       all.push_back(
-        LimitSharer{ { "10.0.0.1", static_cast<std::uint16_t>(1'000 + i) },
-                     i % 2 == 0 ? kZone : "b" });
+        RateLimitSharer{ { "10.0.0.1", static_cast<std::uint16_t>(1'000 + i) },
+                         i % 2 == 0 ? kZone : "b" });
     }
     for (std::size_t i = 0; i < aRelays; ++i) {
       this->limits[i].setSelf(all[i]);
-      std::vector<LimitSharer> others = all;
+      std::vector<RateLimitSharer> others = all;
       others.erase(others.begin() + static_cast<std::ptrdiff_t>(i));
       this->limits[i].setOthers(std::move(others), aRelays);
     }
@@ -73,10 +73,10 @@
   void tell()
   {
     for (std::size_t from = 0; from < this->limits.size(); ++from) {
-      for (const LimitWord& word : this->limits[from].own(this->now)) {
+      for (const RateLimitReport& report : this->limits[from].own(this->now)) {
         for (std::size_t to = 0; to < this->limits.size(); ++to) {
           if (to != from) {
-            this->limits[to].onPeer(word, kZone, this->now);
+            this->limits[to].onPeer(report, kZone, this->now);
           }
         }
       }
@@ -182,7 +182,7 @@
 {
   ReplicaLimits limits;
   limits.onAnswer(kReplica, kZone, 1.4, kStart);
-  limits.onPeer(LimitWord{ kReplica, std::nullopt, milliseconds{ 300 } },
+  limits.onPeer(RateLimitReport{ kReplica, std::nullopt, milliseconds{ 300 } },
                 kZone,
                 kStart + milliseconds{ 200 });
   EXPECT_TRUE(limits.limited(kReplica));
--- a/tests/unit/fleet/ReplicaListTest.cpp
+++ b/tests/unit/fleet/ReplicaListTest.cpp
@@ -28,7 +28,7 @@
 {
   ReplicaPoll poll;
   poll.next = 2;
-  poll.gone.push_back(aId);
+  poll.removed.push_back(aId);
   return poll;
 }
 
--- a/tests/unit/fleet/StaggeredCopiesTest.cpp
+++ b/tests/unit/fleet/StaggeredCopiesTest.cpp
@@ -44,8 +44,8 @@
     candidates.push_back(PathCandidate{ &replica, {}, 1 });
   }
   PathDemand demand;
-  demand.promptTokens = aProfile.usualPrompt;
-  demand.answerTokens = aProfile.usualAnswer;
+  demand.promptTokens = aProfile.meanPromptTokens;
+  demand.answerTokens = aProfile.meanAnswerTokens;
   demand.zone = aZone;
   return findPath(aProfile, candidates, demand);
 }
@@ -58,7 +58,7 @@
   // refused beside free memory.
   EngineProfile profile = smallProfile();
   profile.kinds["slow"].memoryMb = 950;
-  profile.pipeMbps = 640;
+  profile.linkMbps = 640;
   const std::vector<const AcceleratorKind*> zone(2, &profile.kinds["slow"]);
   const StaggeredCopies copies = staggerCopies(
     profile, std::vector<std::vector<const AcceleratorKind*>>(5, zone));
@@ -76,7 +76,7 @@
   // without a pipe; the other two zones share a copy beside it.
   EngineProfile profile = smallProfile();
   profile.kinds["slow"].memoryMb = 1'250;
-  profile.pipeMbps = 640;
+  profile.linkMbps = 640;
   const AcceleratorKind* slow = &profile.kinds["slow"];
   const StaggeredCopies copies =
     staggerCopies(profile, { { slow, slow }, { slow }, { slow } });
@@ -98,13 +98,13 @@
 
 RC_GTEST_PROP(StaggeredCopies,
               WhatIsDealtFitsAndCoversAllLayers,
-              (const std::vector<std::uint8_t>& aZones, std::uint8_t aPipes))
+              (const std::vector<std::uint8_t>& aZones, std::uint8_t aLinks))
 {
   // Fleets of one to eight zones with up to four replicas of two kinds each,
   // and pipes from 500 Mbit/s on.
   constexpr std::size_t kMostZones = 8;
   EngineProfile profile = smallProfile();
-  profile.pipeMbps = 500.0 * (1 + aPipes % 16);
+  profile.linkMbps = 500.0 * (1 + aLinks % 16);
   std::vector<std::vector<const AcceleratorKind*>> zones;
   for (const std::uint8_t draw : aZones) {
     std::vector<const AcceleratorKind*> kinds;
--- /dev/null
+++ b/tests/unit/fleet/StorePollScheduleTest.cpp
@@ -0,0 +1,86 @@
+#include "poplartrack/fleet/StorePollSchedule.h"
+
+#include <gtest/gtest.h>
+
+namespace poplartrack {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr double kAlmostOne = 0.999;
+
+TEST(StorePollScheduleTest, ARelayThatHearsNobodyProvesFreshnessEverySecond)
+{
+  for (const double draw : { 0.0, kAlmostOne }) {
+    EXPECT_EQ(StorePollSchedule{ 0 }.configWait(draw), seconds{ 1 });
+    EXPECT_EQ(StorePollSchedule{ 1 }.configWait(draw), seconds{ 1 });
+  }
+}
+
+TEST(StorePollScheduleTest, TheMoreRelaysAreHeardTheLessEachAsks)
+{
+  // 23 relays that each look every 10 s at most and 1 s at least have a proof
+  // among them every 0.3 s; five keep to 2.5 s and have one every 0.4 s.
+  EXPECT_EQ(StorePollSchedule{ 4 }.configWait(0), seconds{ 1 });
+  EXPECT_LE(StorePollSchedule{ 4 }.configWait(kAlmostOne),
+            milliseconds{ 2'500 });
+  EXPECT_EQ(StorePollSchedule{ 22 }.configWait(0), seconds{ 1 });
+  EXPECT_GT(StorePollSchedule{ 22 }.configWait(kAlmostOne), seconds{ 9 });
+  EXPECT_LT(StorePollSchedule{ 370 }.configWait(kAlmostOne), seconds{ 10 });
+}
+
+TEST(StorePollScheduleTest, MissingEntriesAreLookedForAtOnceByAnyNumberOfRelays)
+{
+  EXPECT_EQ(StorePollSchedule{ 0 }.replicasWait(true, 0), milliseconds{ 200 });
+  EXPECT_EQ(StorePollSchedule{ 22 }.replicasWait(true, kAlmostOne),
+            milliseconds{ 200 });
+}
+
+TEST(StorePollScheduleTest, PausesAfterFailuresGrowToABoundThatNeighboursRaise)
+{
+  EXPECT_EQ(StorePollSchedule{ 22 }.retryPause(0, 0), milliseconds{ 125 });
+  EXPECT_GT(StorePollSchedule{ 22 }.retryPause(1, 0), milliseconds{ 125 });
+  for (const int failures : { 5, 50, 1'000'000 }) {
+    EXPECT_LE(StorePollSchedule{ 22 }.retryPause(failures, kAlmostOne),
+              milliseconds{ 1'500 });
+    EXPECT_LE(StorePollSchedule{ 0 }.retryPause(failures, kAlmostOne),
+              milliseconds{ 500 });
+  }
+}
+
+TEST(StorePollScheduleTest, AnOldProofIsRenewedBesideALookThatHangs)
+{
+  // The look under way waits on a connection that fell silent, and the relays
+  // whose proofs would do are gone. Keys are trusted for 4 s after a proof.
+  const Duration deadline = seconds{ 4 };
+  EXPECT_FALSE(
+    StorePollSchedule::wantsProof(milliseconds{ 900 }, seconds{ 5 }, deadline));
+  EXPECT_TRUE(StorePollSchedule::wantsProof(
+    milliseconds{ 1'500 }, seconds{ 5 }, deadline));
+  // One call a second is enough, also where it brings no proof.
+  EXPECT_FALSE(StorePollSchedule::wantsProof(
+    seconds{ 30 }, milliseconds{ 300 }, deadline));
+}
+
+TEST(StorePollScheduleTest, AProofIsRenewedBeforeTheDeadlineOfANewConfiguration)
+{
+  // A configuration without a proof is not used from 300 ms before the deadline
+  // on. The read beside the look that hangs must have ended by then: asked for
+  // at the next check, 200 ms later at most, it takes up to 600 ms.
+  for (const Duration deadline : { seconds{ 2 }, seconds{ 3 } }) {
+    const Duration latest =
+      deadline - milliseconds{ 300 + 200 } - StorePollSchedule::kProofRead;
+    EXPECT_TRUE(StorePollSchedule::wantsProof(latest, seconds{ 5 }, deadline));
+  }
+}
+
+TEST(StorePollScheduleTest, BurstsAreGatheredLongerBeforeTheFirstRequest)
+{
+  EXPECT_LT(StorePollSchedule::gatherPause(true),
+            StorePollSchedule::gatherPause(false));
+  EXPECT_LT(StorePollSchedule::gatherPause(false), seconds{ 1 });
+}
+
+} // namespace
+} // namespace poplartrack
--- a/tests/unit/fleet/StoreReadersTest.cpp
+++ b/tests/unit/fleet/StoreReadersTest.cpp
@@ -17,11 +17,11 @@
 
 /** Whether one of some relays looks, when it hears all others. */
 bool
-looksAmong(std::vector<StoreReader> aRelays, std::size_t aOwn)
+pollersAmong(std::vector<StoreReader> aRelays, std::size_t aOwn)
 {
   const StoreReader own = aRelays[aOwn];
   aRelays.erase(aRelays.begin() + static_cast<std::ptrdiff_t>(aOwn));
-  return shallLook(own, aRelays);
+  return shouldPoll(own, aRelays);
 }
 
 TEST(StoreReaders, TwoOfEachZoneLook)
@@ -31,13 +31,13 @@
     relays.push_back(relay(i, i % 2 == 0 ? "a" : "b"));
   }
   for (std::size_t i = 0; i < relays.size(); ++i) {
-    EXPECT_EQ(looksAmong(relays, i), i < 4) << i;
+    EXPECT_EQ(pollersAmong(relays, i), i < 4) << i;
   }
 }
 
 TEST(StoreReaders, ARelayThatHearsNobodyLooks)
 {
-  EXPECT_TRUE(shallLook(relay(9, "a"), {}));
+  EXPECT_TRUE(shouldPoll(relay(9, "a"), {}));
 }
 
 TEST(StoreReaders, OneThatTheStoreTurnsAwayIsReplaced)
@@ -47,11 +47,11 @@
   std::vector<StoreReader> relays{ relay(1, "a"),
                                    relay(2, "a"),
                                    relay(3, "a") };
-  relays[0].fails = true;
-  EXPECT_FALSE(looksAmong(relays, 0));
-  EXPECT_TRUE(looksAmong(relays, 1));
-  EXPECT_TRUE(looksAmong(relays, 2));
-  EXPECT_FALSE(storeIsAway(relays));
+  relays[0].pollsFail = true;
+  EXPECT_FALSE(pollersAmong(relays, 0));
+  EXPECT_TRUE(pollersAmong(relays, 1));
+  EXPECT_TRUE(pollersAmong(relays, 2));
+  EXPECT_FALSE(storeIsUnavailable(relays));
 }
 
 TEST(StoreReaders, WhileTheStoreIsAwayForAllTheFirstOfAZoneGoOn)
@@ -60,14 +60,14 @@
   std::vector<StoreReader> relays;
   for (std::uint16_t i = 0; i < 5; ++i) {
     relays.push_back(relay(i, "a"));
-    relays.back().fails = i < 2;
-    relays.back().looks = i < 2;
+    relays.back().pollsFail = i < 2;
+    relays.back().polls = i < 2;
   }
-  EXPECT_TRUE(storeIsAway(relays));
-  EXPECT_TRUE(looksAmong(relays, 0));
-  EXPECT_TRUE(looksAmong(relays, 1));
-  EXPECT_FALSE(looksAmong(relays, 2));
-  EXPECT_FALSE(storeIsAway({}));
+  EXPECT_TRUE(storeIsUnavailable(relays));
+  EXPECT_TRUE(pollersAmong(relays, 0));
+  EXPECT_TRUE(pollersAmong(relays, 1));
+  EXPECT_FALSE(pollersAmong(relays, 2));
+  EXPECT_FALSE(storeIsUnavailable({}));
 }
 
 RC_GTEST_PROP(StoreReaders,
@@ -80,17 +80,17 @@
   for (const std::uint8_t draw : aDraws) {
     relays.push_back(relay(static_cast<std::uint16_t>(relays.size()),
                            draw % 2 == 0 ? "a" : "b"));
-    relays.back().fails = draw % 3 == 0;
-    relays.back().looks = draw % 5 != 0;
+    relays.back().pollsFail = draw % 3 == 0;
+    relays.back().polls = draw % 5 != 0;
   }
   for (int round = 0; round < 3; ++round) {
     for (std::size_t i = 0; i < relays.size(); ++i) {
-      relays[i].looks = looksAmong(relays, i);
+      relays[i].polls = pollersAmong(relays, i);
     }
   }
   RC_ASSERT(std::any_of(relays.begin(),
                         relays.end(),
-                        [](const StoreReader& aOne) { return aOne.looks; }));
+                        [](const StoreReader& aOne) { return aOne.polls; }));
 }
 
 } // namespace
--- a/tests/unit/fleet/WaitingLineTest.cpp
+++ b/tests/unit/fleet/WaitQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/fleet/WaitingLine.h"
+#include "poplartrack/fleet/WaitQueue.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-class WaitingLineTest : public ::testing::Test
+class WaitQueueTest : public ::testing::Test
 {
 protected:
   static TimePoint in(Duration aTime) { return TimePoint{} + aTime; }
@@ -24,10 +24,10 @@
     return waiter;
   }
 
-  WaitingLine line;
+  WaitQueue queue;
 };
 
-TEST_F(WaitingLineTest, ThoseThatCanBeOnTimeGoFirst)
+TEST_F(WaitQueueTest, ThoseThatCanBeOnTimeGoFirst)
 {
   // Memory is short for a while. The first two callers have waited so long that
   // their answers are late whenever they begin; the two others can still be
@@ -37,71 +37,71 @@
          std::pair{ 2U, milliseconds{ 100 } },
          std::pair{ 3U, milliseconds{ 400 } },
          std::pair{ 4U, milliseconds{ 450 } } }) {
-    this->line.join(waiter(request, arrived));
+    this->queue.join(waiter(request, arrived));
   }
-  EXPECT_EQ(this->line.order(in(milliseconds{ 500 })),
+  EXPECT_EQ(this->queue.order(in(milliseconds{ 500 })),
             (std::vector<std::uint64_t>{ 3, 4, 1, 2 }));
 }
 
-TEST_F(WaitingLineTest, StartedStreamsAndUrgentOnesGoBeforeOthers)
+TEST_F(WaitQueueTest, StartedStreamsAndUrgentOnesGoBeforeOthers)
 {
-  this->line.join(waiter(1, milliseconds{ 0 }));
+  this->queue.join(waiter(1, milliseconds{ 0 }));
   Waiter urgent = waiter(2, milliseconds{ 0 });
   urgent.urgency = -1;
-  this->line.join(urgent);
+  this->queue.join(urgent);
   Waiter started = waiter(3, milliseconds{ 0 });
   started.started = true;
   started.urgency = 9;
-  this->line.join(started);
-  EXPECT_EQ(this->line.order(in(milliseconds{ 1 })),
+  this->queue.join(started);
+  EXPECT_EQ(this->queue.order(in(milliseconds{ 1 })),
             (std::vector<std::uint64_t>{ 3, 2, 1 }));
-  this->line.leave(3);
-  EXPECT_EQ(this->line.size(), 2U);
+  this->queue.leave(3);
+  EXPECT_EQ(this->queue.size(), 2U);
 }
 
-TEST_F(WaitingLineTest, JoiningAgainKeepsThePlace)
+TEST_F(WaitQueueTest, JoiningAgainKeepsThePlace)
 {
-  this->line.join(waiter(1, milliseconds{ 0 }));
-  this->line.join(waiter(2, milliseconds{ 0 }));
-  this->line.join(waiter(1, milliseconds{ 0 }));
-  EXPECT_EQ(this->line.order(in(milliseconds{ 1 })),
+  this->queue.join(waiter(1, milliseconds{ 0 }));
+  this->queue.join(waiter(2, milliseconds{ 0 }));
+  this->queue.join(waiter(1, milliseconds{ 0 }));
+  EXPECT_EQ(this->queue.order(in(milliseconds{ 1 })),
             (std::vector<std::uint64_t>{ 1, 2 }));
 }
 
-TEST_F(WaitingLineTest, SixtyThatWaitCostOneSearchARound)
+TEST_F(WaitQueueTest, SixtyThatWaitCostOneSearchARound)
 {
   // A zone is lost and sixty callers wait for memory. Each of them searched for
   // a path by itself every 25 ms, and the relay had no time left for the
   // answers under way.
   for (std::uint64_t request = 1; request <= 60; ++request) {
-    this->line.join(waiter(request, milliseconds{ 0 }));
+    this->queue.join(waiter(request, milliseconds{ 0 }));
   }
   for (int round = 0; round < 3; ++round) {
-    this->line.beginRound();
+    this->queue.beginRound();
     int searches = 0;
     for (std::uint64_t request = 1; request <= 60; ++request) {
       const Waiter one = waiter(request, milliseconds{ 0 });
-      if (this->line.worthTrying(one)) {
+      if (this->queue.worthTrying(one)) {
         ++searches;
-        this->line.onRefused(one);
+        this->queue.onRefused(one);
       }
     }
     EXPECT_EQ(searches, 1);
   }
 }
 
-TEST_F(WaitingLineTest, ASmallerRequestIsTriedWhereALargerOneFoundNothing)
+TEST_F(WaitQueueTest, ASmallerRequestIsTriedWhereALargerOneFoundNothing)
 {
-  this->line.onRefused(waiter(1, milliseconds{ 0 }, 4'000));
-  EXPECT_TRUE(this->line.worthTrying(waiter(2, milliseconds{ 0 }, 800)));
-  EXPECT_FALSE(this->line.worthTrying(waiter(3, milliseconds{ 0 }, 5'000)));
+  this->queue.onRefused(waiter(1, milliseconds{ 0 }, 4'000));
+  EXPECT_TRUE(this->queue.worthTrying(waiter(2, milliseconds{ 0 }, 800)));
+  EXPECT_FALSE(this->queue.worthTrying(waiter(3, milliseconds{ 0 }, 5'000)));
   Waiter other = waiter(4, milliseconds{ 0 }, 5'000);
   other.service = "other model";
-  EXPECT_TRUE(this->line.worthTrying(other));
+  EXPECT_TRUE(this->queue.worthTrying(other));
   // A started stream may book more, so what the others found says nothing.
   Waiter started = waiter(5, milliseconds{ 0 }, 5'000);
   started.started = true;
-  EXPECT_TRUE(this->line.worthTrying(started));
+  EXPECT_TRUE(this->queue.worthTrying(started));
 }
 
 } // namespace
--- a/tests/unit/fleet/ZoneFlowTest.cpp
+++ b/tests/unit/fleet/ZoneFlowTest.cpp
@@ -13,36 +13,36 @@
 
 /** A pipe that carries this many usual requests a second. */
 EngineProfile
-profileWithPipes(double aRate)
+profileWithLinks(double aRate)
 {
   EngineProfile profile = smallProfile();
-  const double bytes =
-    (profile.usualPrompt + profile.usualAnswer) * profile.activationBytes;
-  profile.pipeMbps = aRate * bytes * 8 / 1e6;
+  const double bytes = (profile.meanPromptTokens + profile.meanAnswerTokens) *
+                       profile.activationBytes;
+  profile.linkMbps = aRate * bytes * 8 / 1e6;
   return profile;
 }
 
 TEST(ZoneFlow, AWholeCopyCarriesItsRateWithoutPipes)
 {
   const ZoneHolding whole{ { { 0, 20 } }, 7 };
-  EXPECT_NEAR(carriedRate(profileWithPipes(0.001), { whole }), 7, 1e-6);
-  EXPECT_NEAR(carriedRate(profileWithPipes(0.001), { whole, whole }), 14, 1e-6);
+  EXPECT_NEAR(carriedRate(profileWithLinks(0.001), { whole }), 7, 1e-6);
+  EXPECT_NEAR(carriedRate(profileWithLinks(0.001), { whole, whole }), 14, 1e-6);
 }
 
 TEST(ZoneFlow, NothingIsCarriedWhereALayerIsHeldNowhere)
 {
   const ZoneHolding front{ { { 0, 12 } }, 7 };
   const ZoneHolding back{ { { 13, 20 } }, 7 };
-  EXPECT_EQ(carriedRate(profileWithPipes(100), { front, back }), 0);
-  EXPECT_EQ(carriedRate(profileWithPipes(100), {}), 0);
+  EXPECT_EQ(carriedRate(profileWithLinks(100), { front, back }), 0);
+  EXPECT_EQ(carriedRate(profileWithLinks(100), {}), 0);
 }
 
 TEST(ZoneFlow, ThePipeBoundsWhatAFrontAndABackCarry)
 {
   const ZoneHolding front{ { { 0, 12 } }, 7 };
   const ZoneHolding back{ { { 10, 20 } }, 7 };
-  EXPECT_NEAR(carriedRate(profileWithPipes(3), { front, back }), 3, 1e-6);
-  EXPECT_NEAR(carriedRate(profileWithPipes(300), { front, back }), 7, 1e-6);
+  EXPECT_NEAR(carriedRate(profileWithLinks(3), { front, back }), 3, 1e-6);
+  EXPECT_NEAR(carriedRate(profileWithLinks(300), { front, back }), 7, 1e-6);
 }
 
 TEST(ZoneFlow, ZonesThatLeaveOutStretchesApartUseAllPipesBetweenThem)
@@ -54,18 +54,18 @@
   const ZoneHolding middle{ { { 0, 8 }, { 12, 20 } }, 100 };
   const ZoneHolding last{ { { 0, 16 } }, 100 };
   EXPECT_NEAR(
-    carriedRate(profileWithPipes(3), { first, middle, last }), 9, 0.6);
+    carriedRate(profileWithLinks(3), { first, middle, last }), 9, 0.6);
 }
 
 TEST(ZoneFlow, StreamsCrossSteadilyWherePromptsPassAPipeQuickly)
 {
   // A token waits behind a prompt for the time that this takes the pipe: 33 ms
   // here, or 200 ms, which is near the longest pause that callers accept.
-  EXPECT_TRUE(crossesSteadily(profileWithPipes(30)));
-  EXPECT_FALSE(crossesSteadily(profileWithPipes(5)));
-  EXPECT_NEAR(crossingRate(profileWithPipes(5)), 5, 1e-9);
+  EXPECT_TRUE(crossesSteadily(profileWithLinks(30)));
+  EXPECT_FALSE(crossesSteadily(profileWithLinks(5)));
+  EXPECT_NEAR(crossingRate(profileWithLinks(5)), 5, 1e-9);
   EngineProfile unbounded = smallProfile();
-  unbounded.pipeMbps = 0;
+  unbounded.linkMbps = 0;
   EXPECT_TRUE(crossesSteadily(unbounded));
 }
 
@@ -73,7 +73,7 @@
               NeverMoreThanTheZonesThatHoldALayer,
               (const std::vector<std::uint8_t>& aDraws))
 {
-  const EngineProfile profile = profileWithPipes(5);
+  const EngineProfile profile = profileWithLinks(5);
   std::vector<ZoneHolding> zones;
   for (const std::uint8_t draw : aDraws) {
     const std::uint32_t from = draw % 16;
--- a/tests/unit/relay/FleetControlTest.cpp
+++ b/tests/unit/relay/FleetControlTest.cpp
@@ -277,13 +277,13 @@
   first.next = 5;
   this->store.willAnswer(pollOf(5));
   this->store.willList(first);
-  ListNews hole{ 8, listOf("three") };
+  ReplicaListDelta hole{ 8, listOf("three") };
   hole.poll.whole = false;
   hole.poll.next = 9;
-  ListNews joined{ 5, listOf("two") };
+  ReplicaListDelta joined{ 5, listOf("two") };
   joined.poll.whole = false;
   joined.poll.next = 6;
-  this->shared.looks = false;
+  this->shared.polls = false;
   const auto count = this->listedAfter(
     [&] {
       this->shared.listInbox.push(hole);
@@ -303,14 +303,14 @@
   first.next = 5;
   this->store.willAnswer(pollOf(5));
   this->store.willList(first);
-  ListNews lapsed{ 5, listOf("two") };
+  ReplicaListDelta lapsed{ 5, listOf("two") };
   lapsed.poll.whole = false;
   lapsed.poll.next = 6;
-  lapsed.poll.gone = { "one" };
-  this->shared.looks = false;
+  lapsed.poll.removed = { "one" };
+  this->shared.polls = false;
   const auto count = this->listedAfter(
     [&] {
-      this->shared.outageHeard =
+      this->shared.peersSawOutageAt =
         SuspendAwareClock{}.now().time_since_epoch().count();
       this->shared.listInbox.push(lapsed);
     },
--- a/tests/unit/relay/PlacementDutyTest.cpp
+++ b/tests/unit/relay/PlacementControllerTest.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/relay/PlacementDuty.h"
+#include "poplartrack/relay/PlacementController.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -16,46 +16,47 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class PlacementDutyTest : public ::testing::Test
+class PlacementControllerTest : public ::testing::Test
 {
 protected:
-  PlacementDutyTest()
+  PlacementControllerTest()
     : logFd(::open("/dev/null", O_WRONLY))
     , shared(logFd)
-    , duty(shared,
-           [this](const Replica& aReplica,
-                  LayerRange aLayers,
-                  std::uint64_t,
-                  const std::function<void(Result<Done>)>& aDone) {
-             this->ordered.push_back(aReplica.id);
-             if (aReplica.id == this->takenOver) {
-               aDone(fail(ErrorKind::NotFound, "another replica answered"));
-               return;
-             }
-             this->replicas.at(aReplica.id).layers = aLayers;
-             aDone(Done{});
-           })
+    , controller(shared,
+                 [this](const Replica& aReplica,
+                        LayerRange aLayers,
+                        std::uint64_t,
+                        const std::function<void(Result<Done>)>& aDone) {
+                   this->ordered.push_back(aReplica.id);
+                   if (aReplica.id == this->takenOver) {
+                     aDone(
+                       fail(ErrorKind::NotFound, "another replica answered"));
+                     return;
+                   }
+                   this->replicas.at(aReplica.id).layers = aLayers;
+                   aDone(Done{});
+                 })
   {
     auto config = std::make_shared<RelayConfig>();
     config->services["model"].name = "model";
     config->services["model"].engine = smallProfile();
     this->shared.config.replace(config);
   }
-  ~PlacementDutyTest() override { ::close(this->logFd); }
-  PlacementDutyTest(const PlacementDutyTest&) = delete;
-  PlacementDutyTest& operator=(const PlacementDutyTest&) = delete;
+  ~PlacementControllerTest() override { ::close(this->logFd); }
+  PlacementControllerTest(const PlacementControllerTest&) = delete;
+  PlacementControllerTest& operator=(const PlacementControllerTest&) = delete;
 
   void list(const Replica& aReplica)
   {
     this->replicas.insert_or_assign(aReplica.id, aReplica);
   }
   /** One look after this time. */
-  void lookAfter(Duration aTime)
+  void pollAfter(Duration aTime)
   {
     this->now += aTime;
     this->shared.replicas.replace(std::make_shared<const ReplicaView>(
       ReplicaView::of(++this->version, this->replicas)));
-    this->duty.run(1, this->now);
+    this->controller.run(1, this->now);
   }
 
   int logFd;
@@ -66,10 +67,10 @@
   std::string takenOver;
   TimePoint now = TimePoint{} + seconds{ 100 };
   std::uint64_t version = 0;
-  PlacementDuty duty;
+  PlacementController controller;
 };
 
-TEST_F(PlacementDutyTest, AReplicaWhoseAddressAnotherHasIsNoNewcomer)
+TEST_F(PlacementControllerTest, AReplicaWhoseAddressAnotherHasIsNoNewcomer)
 {
   // A replica dies right after it registered, empty, and its endpoint is back
   // at the same address under another name. The dead one stays listed for
@@ -79,15 +80,15 @@
     const std::uint32_t from = 5 * static_cast<std::uint32_t>(i);
     this->list(holding("r" + std::to_string(i), "a", { from, from + 5 }));
   }
-  this->lookAfter(seconds{ 1 });
+  this->pollAfter(seconds{ 1 });
   ASSERT_TRUE(this->ordered.empty());
   this->replicas.erase("r1");
   this->list(replicaOf("dead", "a", "fast"));
   this->takenOver = "dead";
-  this->lookAfter(milliseconds{ 100 });
+  this->pollAfter(milliseconds{ 100 });
   this->list(replicaOf("new", "a", "fast"));
   for (int i = 0; i < 30; ++i) {
-    this->lookAfter(milliseconds{ 100 });
+    this->pollAfter(milliseconds{ 100 });
   }
   EXPECT_EQ(std::count(this->ordered.begin(), this->ordered.end(), "dead"), 1);
   std::vector<bool> held(20, false);
--- a/tests/unit/relay/QuarantineRowsTest.cpp
+++ b/tests/unit/relay/QuarantineRowsTest.cpp
@@ -131,7 +131,7 @@
   this->hold(false);
   rows.refresh(kStart);
   EXPECT_TRUE(this->store.rows.empty());
-  this->shared.leads = true;
+  this->shared.holdsLease = true;
   rows.refresh(kStart + milliseconds{ 250 });
   EXPECT_EQ(this->store.rows.size(), 1U);
   const int calls = this->store.calls;
@@ -187,11 +187,11 @@
     rows.refresh(kStart + milliseconds{ 250 } * i);
   }
   EXPECT_EQ(this->store.calls, 0);
-  this->shared.readersHeard = 2;
-  this->shared.looks = false;
+  this->shared.storeReaders = 2;
+  this->shared.polls = false;
   rows.refresh(kStart + seconds{ 2 });
   EXPECT_EQ(this->store.calls, 0);
-  this->shared.looks = true;
+  this->shared.polls = true;
   rows.refresh(kStart + milliseconds{ 2'250 });
   EXPECT_EQ(this->store.calls, 1);
 }
--- a/tests/unit/relay/RelayCrashTest.cpp
+++ b/tests/unit/relay/RelayCrashTest.cpp
@@ -111,11 +111,11 @@
   }
   // Its first word after that tells the latest version of the list.
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (second.shared.listHeard < replicas.listVersion() &&
+  while (second.shared.peerListVersion < replicas.listVersion() &&
          runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  ASSERT_EQ(second.shared.listHeard, replicas.listVersion());
+  ASSERT_EQ(second.shared.peerListVersion, replicas.listVersion());
   constexpr int kCalls = 10;
   for (int i = 0; i < kCalls; ++i) {
     callOnce(second, kMostEnds + i);
--- a/tests/unit/relay/RelayLimitTest.cpp
+++ b/tests/unit/relay/RelayLimitTest.cpp
@@ -96,8 +96,9 @@
   first.publishReplicas(7);
   second.publishReplicas(7);
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while ((second.shared.listHeard < 7 || first.shared.listHeard < 7) &&
-         runtimeNow() < latest) {
+  while (
+    (second.shared.peerListVersion < 7 || first.shared.peerListVersion < 7) &&
+    runtimeNow() < latest) {
     std::this_thread::yield();
   }
   const int before = replica.requests();
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -545,10 +545,10 @@
   knows.shared.peers.replace(std::make_shared<const std::vector<Address>>(
     std::vector<Address>{ behind.loop->peersAddress() }));
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (behind.shared.listHeard < 7 && runtimeNow() < latest) {
+  while (behind.shared.peerListVersion < 7 && runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  ASSERT_EQ(behind.shared.listHeard, 7U);
+  ASSERT_EQ(behind.shared.peerListVersion, 7U);
   RawSocket caller = behind.callerOf("/once/x", "id-1");
   RawSocket replica = staying.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
@@ -558,38 +558,38 @@
 {
   // One relay's look finds that a replica leaves. The other does not look: it
   // hears of it, with all that the entry says.
-  RelayWorld looks;
+  RelayWorld reader;
   RelayWorld hears;
-  looks.start();
+  reader.start();
   hears.start();
-  looks.shared.peers.replace(std::make_shared<const std::vector<Address>>(
+  reader.shared.peers.replace(std::make_shared<const std::vector<Address>>(
     std::vector<Address>{ hears.loop->peersAddress() }));
   Replica replica;
   replica.registeredAs = "one";
-  replica.born = 7;
+  replica.startedAtMs = 7;
   replica.id = replicaId("one", 7);
   replica.address = { "127.0.0.1", 9 };
   replica.zone = "a";
   replica.kind = "fast";
   replica.layers = LayerRange{ 3, 5 };
   replica.draining = true;
-  ListNews told;
+  ReplicaListDelta told;
   told.after = 4;
   told.poll.next = 5;
   told.poll.present.push_back(replica);
-  told.poll.gone = { "two" };
+  told.poll.removed = { "two" };
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  std::vector<ListNews> heard;
+  std::vector<ReplicaListDelta> heard;
   while (heard.empty() && runtimeNow() < latest) {
     // Told to relays that are heard; a word comes each 200 ms.
-    looks.shared.tellList(told);
+    reader.shared.sendListDelta(told);
     std::this_thread::yield();
     heard = hears.shared.listInbox.take();
   }
   ASSERT_FALSE(heard.empty());
   EXPECT_EQ(heard[0].after, 4U);
   EXPECT_EQ(heard[0].poll.next, 5U);
-  EXPECT_EQ(heard[0].poll.gone, std::vector<std::string>{ "two" });
+  EXPECT_EQ(heard[0].poll.removed, std::vector<std::string>{ "two" });
   ASSERT_EQ(heard[0].poll.present.size(), 1U);
   EXPECT_EQ(heard[0].poll.present[0], replica);
 }
--- a/tests/unit/relay/RelayWorld.h
+++ b/tests/unit/relay/RelayWorld.h
@@ -63,9 +63,9 @@
     this->config->services["plain"].name = "plain";
     this->config->services["model"].name = "model";
     this->config->services["model"].engine = profile();
-    this->addRoute("/once/", RepeatRule::AtMostOnce, "plain");
-    this->addRoute("/again/", RepeatRule::Idempotent, "plain");
-    this->addRoute("/stream/", RepeatRule::Stream, "model");
+    this->addRoute("/once/", RetryRule::AtMostOnce, "plain");
+    this->addRoute("/again/", RetryRule::Idempotent, "plain");
+    this->addRoute("/stream/", RetryRule::Stream, "model");
   }
   RelayWorld(const RelayWorld&) = delete;
   RelayWorld& operator=(const RelayWorld&) = delete;
@@ -143,8 +143,8 @@
   void restartReplica(const std::string& aName)
   {
     Replica& replica = this->replicas.at(aName);
-    ++replica.born;
-    replica.id = replicaId(aName, replica.born);
+    ++replica.startedAtMs;
+    replica.id = replicaId(aName, replica.startedAtMs);
     replica.layers.reset();
   }
   [[nodiscard]] RawSocket caller() const
@@ -219,14 +219,14 @@
     profile.layerMb = 1;
     profile.tokenBytes = 10;
     profile.stepMs = 1;
-    profile.readPerSecond = 1e6;
-    profile.usualPrompt = 10;
-    profile.usualAnswer = 10;
+    profile.prefillPerSecond = 1e6;
+    profile.meanPromptTokens = 10;
+    profile.meanAnswerTokens = 10;
     profile.kinds["card"] = AcceleratorKind{ 1'000, 1, 1 };
     return profile;
   }
   void addRoute(const std::string& aPrefix,
-                RepeatRule aRule,
+                RetryRule aRule,
                 const std::string& aService)
   {
     RelayRoute route;
@@ -238,8 +238,8 @@
     route.timeout = std::chrono::seconds{ 60 };
     route.objective = std::chrono::milliseconds{ 500 };
     route.targets = { { aService, 1 } };
-    route.attempts = aRule == RepeatRule::AtMostOnce ? 1 : 2;
-    route.resumable = aRule == RepeatRule::Stream;
+    route.attempts = aRule == RetryRule::AtMostOnce ? 1 : 2;
+    route.resumable = aRule == RetryRule::Stream;
     this->config->routes[route.host].push_back(route);
   }
 };
--- a/tests/unit/users_platform/DecodersTest.cpp
+++ b/tests/unit/users_platform/DecodersTest.cpp
@@ -31,7 +31,7 @@
   ASSERT_TRUE(config) << describe(config.error());
   const RelayRoute* stream = config.value().routeFor("shop.example", "/a/x");
   ASSERT_NE(stream, nullptr);
-  EXPECT_EQ(stream->rule, RepeatRule::Stream);
+  EXPECT_EQ(stream->rule, RetryRule::Stream);
   EXPECT_EQ(stream->maxPause, milliseconds{ 200 });
   EXPECT_TRUE(stream->resumable);
   const RelayRoute* longer = config.value().routeFor("shop.example", "/a/b/");
@@ -100,7 +100,7 @@
   EXPECT_NE(before.value().id, after.value().id);
   EXPECT_EQ(before.value().registeredAs, "i-1");
   EXPECT_EQ(after.value().registeredAs, "i-1");
-  EXPECT_EQ(before.value().born, 1'764'734'942'123U);
+  EXPECT_EQ(before.value().startedAtMs, 1'764'734'942'123U);
 }
 
 TEST(ReplicaDecoder, AnEntryOfAnotherWriterNamesNoReplica)
--- a/tests/unit/users_platform/UsersStoreTest.cpp
+++ b/tests/unit/users_platform/UsersStoreTest.cpp
@@ -126,7 +126,7 @@
   const auto change =
     this->store.awaitReplicas(poll.value().next, milliseconds{ 10 });
   ASSERT_TRUE(change);
-  EXPECT_EQ(change.value().gone, std::vector<std::string>{ "i-5" });
+  EXPECT_EQ(change.value().removed, std::vector<std::string>{ "i-5" });
 }
 
 } // namespace
