--- a/include/poplartrack/fleet/FleetPolls.h
+++ b/include/poplartrack/fleet/FleetPolls.h
@@ -40,12 +40,12 @@
 struct ReplicaPoll
 {
   /** It holds all of them; else only those that have changed. */
-  bool whole = false;
+  bool fullSnapshot = false;
   std::vector<Replica> present;
   /** Names under which those were registered that were removed. */
   std::vector<std::string> removed;
   /** Version of the latest change among these. */
-  std::uint64_t changed = 0;
+  std::uint64_t lastChange = 0;
   std::uint64_t next = 0;
   std::vector<UnreadableEntry> unreadable;
 };
--- a/include/poplartrack/fleet/LinkBudget.h
+++ b/include/poplartrack/fleet/LinkBudget.h
@@ -37,10 +37,10 @@
    * depth. */
   void setRate(double aBytesPerSecond);
   /** The zones between which nothing more may be sent now. */
-  [[nodiscard]] std::set<ZonePair> closed(TimePoint aNow);
+  [[nodiscard]] std::set<ZonePair> closedLinks(TimePoint aNow);
   /** How long bytes would stand before a pipe now; pipes that are free are left
    * out. */
-  [[nodiscard]] std::map<ZonePair, Duration> waits(TimePoint aNow);
+  [[nodiscard]] std::map<ZonePair, Duration> linkWaits(TimePoint aNow);
   /** Books bytes that pass between two zones. */
   void take(const ZonePair& aZones, double aBytes, TimePoint aNow);
   /** What another relay has sent; counted from the first word of its life. */
--- a/include/poplartrack/fleet/LossReports.h
+++ b/include/poplartrack/fleet/LossReports.h
@@ -13,7 +13,7 @@
 struct LossReport
 {
   /** Named by another replica as what its work waits for. */
-  std::set<std::string> named;
+  std::set<std::string> blockedOn;
   /** Not reached by the relay itself. */
   std::set<std::string> unreachable;
   /** Slow, with how slow. */
--- a/include/poplartrack/fleet/PathFinder.h
+++ b/include/poplartrack/fleet/PathFinder.h
@@ -42,12 +42,12 @@
   /** Repair of a running request: the path must begin with this replica. */
   std::string firstReplica;
   /** Availability zones between which the path may not change. */
-  std::set<ZonePair> closed;
+  std::set<ZonePair> closedLinks;
   /** Most times that the path may change zones, unless no path of these
    * replicas does with so few. */
   std::uint32_t maxCrossings = std::numeric_limits<std::uint32_t>::max();
   /** How long a prompt would stand before a pipe between two zones. */
-  std::map<ZonePair, Duration> waits;
+  std::map<ZonePair, Duration> linkWaits;
 };
 
 /** Memory of a replica for requests, in tokens times layers. */
--- a/include/poplartrack/fleet/ReplicaHealth.h
+++ b/include/poplartrack/fleet/ReplicaHealth.h
@@ -58,7 +58,7 @@
                  TimePoint aNow);
   void onSuccess(const std::string& aReplica);
   /** A probe told how many times as long as declared its work takes. */
-  void onPace(const std::string& aReplica, double aPace);
+  void onSlowdown(const std::string& aReplica, double aPace);
   /** Drops what is known of replicas that are no longer listed. */
   void keepOnly(const std::set<std::string>& aListed);
 
@@ -73,11 +73,11 @@
   /** Part of its latest answers that were errors, 0 to 1. */
   [[nodiscard]] double errorRate(const std::string& aReplica) const;
   /** Replicas that are taken to be dead. */
-  [[nodiscard]] std::set<std::string> lost(TimePoint aNow) const;
+  [[nodiscard]] std::set<std::string> deadReplicas(TimePoint aNow) const;
   /** Those of them that another replica named as what its work waits for. Only
    * these are told to other relays: one that this relay cannot reach may be
    * well, and this relay the one that is cut off. */
-  [[nodiscard]] std::set<std::string> named(TimePoint aNow) const;
+  [[nodiscard]] std::set<std::string> blockedOn(TimePoint aNow) const;
 
 private:
   struct State
--- a/include/poplartrack/fleet/ReplicaLimits.h
+++ b/include/poplartrack/fleet/ReplicaLimits.h
@@ -68,7 +68,7 @@
   void expire(TimePoint aNow);
 
   /** Whether this relay may send a request there now. */
-  [[nodiscard]] bool open(const std::string& aReplica, TimePoint aNow);
+  [[nodiscard]] bool maySend(const std::string& aReplica, TimePoint aNow);
   /** Whether the replica limits requests. */
   [[nodiscard]] bool limited(const std::string& aReplica) const;
   [[nodiscard]] std::size_t limitedCount() const;
--- a/include/poplartrack/fleet/ReplicaList.h
+++ b/include/poplartrack/fleet/ReplicaList.h
@@ -38,11 +38,11 @@
   [[nodiscard]] ReplicaView view() const
   {
     ReplicaView view = ReplicaView::of(this->version, this->replicas);
-    view.changed = this->changed;
+    view.lastChange = this->lastChange;
     return view;
   }
   /** Version up to which it has all changes. */
-  [[nodiscard]] std::uint64_t known() const { return this->version; }
+  [[nodiscard]] std::uint64_t knownVersion() const { return this->version; }
   [[nodiscard]] std::size_t size() const { return this->replicas.size(); }
 
 private:
@@ -57,7 +57,7 @@
   std::optional<TimePoint> lastTrouble;
   bool away = false;
   std::uint64_t version = 0;
-  std::uint64_t changed = 0;
+  std::uint64_t lastChange = 0;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/fleet/ReplicaView.h
+++ b/include/poplartrack/fleet/ReplicaView.h
@@ -15,7 +15,7 @@
 {
   std::uint64_t version = 0;
   /** Version of the latest change of an entry. */
-  std::uint64_t changed = 0;
+  std::uint64_t lastChange = 0;
   std::vector<Replica> replicas;
   /** Places in replicas, by service. */
   std::map<std::string, std::vector<std::size_t>, std::less<>> byService;
--- a/include/poplartrack/fleet/StorePollSchedule.h
+++ b/include/poplartrack/fleet/StorePollSchedule.h
@@ -16,7 +16,8 @@
 public:
   /** Longest time for a read beside a look that hangs. Slow stores were
    * declared to take 300 ms. */
-  static constexpr Duration kProofRead = std::chrono::milliseconds{ 600 };
+  static constexpr Duration kProofReadTimeout =
+    std::chrono::milliseconds{ 600 };
 
   /** aHeard: how many other relays are heard. */
   explicit StorePollSchedule(std::size_t aHeard)
@@ -35,13 +36,13 @@
   [[nodiscard]] Duration retryPause(int aFailures, double aDraw) const;
   /** Pause after a look that brought something. aInUse: requests come, or
    * layers are placed by what the looks bring. */
-  [[nodiscard]] static Duration gatherPause(bool aInUse);
+  [[nodiscard]] static Duration batchDelay(bool aInUse);
   /** Whether the newest proof of the configuration's freshness is so old that a
    * look beside the one under way is due, aSince after the last such look.
    * aDeadline: time until an accepted configuration must be in force. */
-  [[nodiscard]] static bool wantsProof(Duration aAge,
-                                       Duration aSince,
-                                       Duration aDeadline);
+  [[nodiscard]] static bool needsProofRead(Duration aAge,
+                                           Duration aSince,
+                                           Duration aDeadline);
 
 private:
   std::size_t heard;
--- a/include/poplartrack/fleet/WaitQueue.h
+++ b/include/poplartrack/fleet/WaitQueue.h
@@ -21,7 +21,7 @@
   /** Tokens that it needs memory for. */
   double tokens = 0;
   /** Sent by then, it is still answered within its objective. */
-  TimePoint onTimeUntil{};
+  TimePoint latestOnTimeStart{};
 };
 
 /**
@@ -42,8 +42,8 @@
 {
 public:
   /** A request that is in the line already keeps its place. */
-  void join(const Waiter& aWaiter);
-  void leave(std::uint64_t aRequest);
+  void add(const Waiter& aWaiter);
+  void remove(std::uint64_t aRequest);
   [[nodiscard]] bool empty() const { return this->waiters.empty(); }
   [[nodiscard]] std::size_t size() const { return this->waiters.size(); }
 
@@ -53,9 +53,9 @@
   /** A new round: what had no memory before may have some now. */
   void beginRound() { this->smallestRefused.clear(); }
   /** A search for this request found nothing. */
-  void onRefused(const Waiter& aWaiter);
+  void onNoPath(const Waiter& aWaiter);
   /** Whether a search may find something, as far as this round knows. */
-  [[nodiscard]] bool worthTrying(const Waiter& aWaiter) const;
+  [[nodiscard]] bool mayFindPath(const Waiter& aWaiter) const;
 
 private:
   struct Place
--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -20,7 +20,7 @@
 /** Longest time for a read beside a look that hangs. It must end, in an answer
  * or an error, before the age at which a configuration is not used any more
  * without an error of the store: StorePollSchedule asks that much sooner. */
-constexpr Duration kCatchUpRead = StorePollSchedule::kProofRead;
+constexpr Duration kCatchUpRead = StorePollSchedule::kProofReadTimeout;
 
 } // namespace fleet_control
 
@@ -62,9 +62,9 @@
   // A thread whose look has failed asks again by itself.
   const bool proofOld =
     config != nullptr && this->configReachable &&
-    StorePollSchedule::wantsProof(this->shared.freshness.age(),
-                                  now - this->proofAsked,
-                                  this->settings.configDeadline);
+    StorePollSchedule::needsProofRead(this->shared.freshness.age(),
+                                      now - this->proofAsked,
+                                      this->settings.configDeadline);
   if (!this->leaving && (behind || proofOld)) {
     this->configBehind.reset();
     this->proofAsked = now;
@@ -80,7 +80,7 @@
 {
   const TimePoint now = this->clock.now();
   const std::uint64_t heard = this->shared.peerListVersion;
-  if (heard <= this->shared.replicas.read()->changed ||
+  if (heard <= this->shared.replicas.read()->lastChange ||
       heard <= this->listCaughtUp) {
     this->listBehind.reset();
   } else if (!this->listBehind) {
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -122,8 +122,8 @@
 Duration
 FleetControl<Store>::gatherPause() const
 {
-  return StorePollSchedule::gatherPause(this->shared.called ||
-                                        this->leading != 0);
+  return StorePollSchedule::batchDelay(this->shared.called ||
+                                       this->leading != 0);
 }
 
 template<FleetStoreLike Store>
@@ -225,7 +225,7 @@
   std::uint64_t after = 0;
   {
     const std::scoped_lock lock{ this->listGuard };
-    after = this->list.known();
+    after = this->list.knownVersion();
   }
   if (after > 0 && !this->shared.polls) {
     return this->applyPeerDeltas();
@@ -261,7 +261,7 @@
   this->onReplicas(poll.value(), now);
   const bool quiet =
     poll.value().present.empty() && poll.value().removed.empty();
-  if (!quiet && !poll.value().whole && this->shared.sendListDelta) {
+  if (!quiet && !poll.value().fullSnapshot && this->shared.sendListDelta) {
     this->shared.sendListDelta(ReplicaListDelta{ after, poll.value() });
   }
   return quiet ? Duration{ 0 } : this->gatherPause();
@@ -289,12 +289,12 @@
     // It is over: what vanishes from now on leaves, and takes no more work.
     this->outageOpen = false;
     ReplicaPoll nothing;
-    nothing.next = this->list.known();
+    nothing.next = this->list.knownVersion();
     this->list.onPoll(nothing, now);
   }
   for (const ReplicaListDelta& delta : this->shared.listInbox.take()) {
-    const bool joins = delta.after <= this->list.known();
-    if (joins && delta.poll.next > this->list.known()) {
+    const bool joins = delta.after <= this->list.knownVersion();
+    if (joins && delta.poll.next > this->list.knownVersion()) {
       this->onReplicas(delta.poll, now);
     }
   }
@@ -311,7 +311,7 @@
   const bool expired = this->list.expire(aNow);
   this->uncertain = this->list.uncertain();
   const bool changed = !aPoll.present.empty() || !aPoll.removed.empty() ||
-                       !aPoll.unreadable.empty() || aPoll.whole;
+                       !aPoll.unreadable.empty() || aPoll.fullSnapshot;
   if (changed) {
     this->shared.log.write(
       LogLine{ LogPart::Replicas, "listed" }
--- a/src/fleet/LinkBudget.cpp
+++ b/src/fleet/LinkBudget.cpp
@@ -35,7 +35,7 @@
 }
 
 std::set<ZonePair>
-LinkBudget::closed(TimePoint aNow)
+LinkBudget::closedLinks(TimePoint aNow)
 {
   std::set<ZonePair> pairs;
   for (auto& [zones, bucket] : this->buckets) {
@@ -51,7 +51,7 @@
 }
 
 std::map<ZonePair, Duration>
-LinkBudget::waits(TimePoint aNow)
+LinkBudget::linkWaits(TimePoint aNow)
 {
   std::map<ZonePair, Duration> waits;
   for (auto& [zones, bucket] : this->buckets) {
--- a/src/fleet/LossReports.cpp
+++ b/src/fleet/LossReports.cpp
@@ -48,7 +48,7 @@
 {
   this->verdicts.clear();
   for (const auto& [name, peer] : this->peers) {
-    for (const std::string& replica : peer.report.named) {
+    for (const std::string& replica : peer.report.blockedOn) {
       this->verdicts[replica].named = true;
     }
     for (const std::string& replica : peer.report.unreachable) {
--- a/src/fleet/PathFinder.cpp
+++ b/src/fleet/PathFinder.cpp
@@ -160,16 +160,17 @@
       const ZonePair pair = zonePair(this->zones[from], this->zones[to]);
       const double delay =
         delayMs(this->profile, this->zones[from], this->zones[to]);
-      const auto wait = this->demand.waits.find(pair);
+      const auto wait = this->demand.linkWaits.find(pair);
       const double waitMs =
-        wait == this->demand.waits.end()
+        wait == this->demand.linkWaits.end()
           ? 0
           : std::chrono::duration<double, std::milli>(wait->second).count();
       this->crossFirst[from * count + to] =
         delay + this->crossTransferMs + waitMs;
       this->crossToken[from * count + to] = delay;
       this->crossWait[from * count + to] = waitMs;
-      this->crossOpen[from * count + to] = !this->demand.closed.contains(pair);
+      this->crossOpen[from * count + to] =
+        !this->demand.closedLinks.contains(pair);
     }
   }
 }
--- a/src/fleet/ReplicaHealth.cpp
+++ b/src/fleet/ReplicaHealth.cpp
@@ -62,7 +62,7 @@
 }
 
 void
-ReplicaHealth::onPace(const std::string& aReplica, double aPace)
+ReplicaHealth::onSlowdown(const std::string& aReplica, double aPace)
 {
   this->states[aReplica].pace = std::max(aPace, 1.0);
 }
@@ -117,7 +117,7 @@
 }
 
 std::set<std::string>
-ReplicaHealth::lost(TimePoint aNow) const
+ReplicaHealth::deadReplicas(TimePoint aNow) const
 {
   std::set<std::string> names;
   for (const auto& [name, state] : this->states) {
@@ -129,7 +129,7 @@
 }
 
 std::set<std::string>
-ReplicaHealth::named(TimePoint aNow) const
+ReplicaHealth::blockedOn(TimePoint aNow) const
 {
   std::set<std::string> names;
   for (const auto& [name, state] : this->states) {
--- a/src/fleet/ReplicaLimits.cpp
+++ b/src/fleet/ReplicaLimits.cpp
@@ -179,7 +179,7 @@
 }
 
 bool
-ReplicaLimits::open(const std::string& aReplica, TimePoint aNow)
+ReplicaLimits::maySend(const std::string& aReplica, TimePoint aNow)
 {
   const auto found = this->limits.find(aReplica);
   if (found == this->limits.end() || !found->second.perSecond) {
--- a/src/fleet/ReplicaList.cpp
+++ b/src/fleet/ReplicaList.cpp
@@ -58,7 +58,7 @@
     return;
   }
   this->version = aPoll.next;
-  this->changed = std::max(this->changed, aPoll.changed);
+  this->lastChange = std::max(this->lastChange, aPoll.lastChange);
   std::set<std::string> listed;
   for (const Replica& replica : aPoll.present) {
     this->missing.erase(replica.registeredAs);
@@ -74,7 +74,7 @@
     this->missing.erase(entry.name);
     this->replicas.erase(entry.name);
   }
-  if (!aPoll.whole) {
+  if (!aPoll.fullSnapshot) {
     return;
   }
   std::vector<std::string> absent;
--- a/src/fleet/StorePollSchedule.cpp
+++ b/src/fleet/StorePollSchedule.cpp
@@ -60,7 +60,7 @@
  * configuration without a proof is not used any more (300 ms, and 200 for what
  * the threads wait). */
 constexpr Duration kBeforeDeadline =
-  StorePollSchedule::kProofRead + milliseconds{ 500 };
+  StorePollSchedule::kProofReadTimeout + milliseconds{ 500 };
 constexpr Duration kProofPause = milliseconds{ 1'000 };
 
 /** A wait between the two, by the draw. A change ends the looks of all relays
@@ -118,15 +118,15 @@
 }
 
 Duration
-StorePollSchedule::gatherPause(bool aInUse)
+StorePollSchedule::batchDelay(bool aInUse)
 {
   return aInUse ? kGatherInUse : kGatherBefore;
 }
 
 bool
-StorePollSchedule::wantsProof(Duration aAge,
-                              Duration aSince,
-                              Duration aDeadline)
+StorePollSchedule::needsProofRead(Duration aAge,
+                                  Duration aSince,
+                                  Duration aDeadline)
 {
   const Duration old = std::min(kOldProof, aDeadline - kBeforeDeadline);
   return aAge >= old && aSince >= kProofPause;
--- a/src/fleet/WaitQueue.cpp
+++ b/src/fleet/WaitQueue.cpp
@@ -6,7 +6,7 @@
 namespace poplartrack {
 
 void
-WaitQueue::join(const Waiter& aWaiter)
+WaitQueue::add(const Waiter& aWaiter)
 {
   const auto [place, isNew] =
     this->waiters.try_emplace(aWaiter.request, Place{ aWaiter, 0 });
@@ -16,7 +16,7 @@
 }
 
 void
-WaitQueue::leave(std::uint64_t aRequest)
+WaitQueue::remove(std::uint64_t aRequest)
 {
   this->waiters.erase(aRequest);
 }
@@ -31,9 +31,10 @@
   }
   const auto rank = [aNow](const Place* aPlace) {
     const Waiter& waiter = aPlace->waiter;
-    return std::tuple{
-      !waiter.started, waiter.urgency, aNow > waiter.onTimeUntil, aPlace->number
-    };
+    return std::tuple{ !waiter.started,
+                       waiter.urgency,
+                       aNow > waiter.latestOnTimeStart,
+                       aPlace->number };
   };
   std::sort(
     places.begin(), places.end(), [&](const Place* aLeft, const Place* aRight) {
@@ -48,7 +49,7 @@
 }
 
 void
-WaitQueue::onRefused(const Waiter& aWaiter)
+WaitQueue::onNoPath(const Waiter& aWaiter)
 {
   const auto [smallest, isNew] = this->smallestRefused.try_emplace(
     Kind{ aWaiter.service, aWaiter.started }, aWaiter.tokens);
@@ -58,7 +59,7 @@
 }
 
 bool
-WaitQueue::worthTrying(const Waiter& aWaiter) const
+WaitQueue::mayFindPath(const Waiter& aWaiter) const
 {
   const auto smallest =
     this->smallestRefused.find(Kind{ aWaiter.service, aWaiter.started });
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -242,8 +242,8 @@
     const double part = crossesSteadily(engine) ? kCalmPart : kSlowLinkPart;
     this->links.setRate(part * engine.linkMbps * kBytesPerMegabit *
                         std::min(heard / known, 1.0));
-    aDemand.closed = this->links.closed(this->now);
-    aDemand.waits = this->links.waits(this->now);
+    aDemand.closedLinks = this->links.closedLinks(this->now);
+    aDemand.linkWaits = this->links.linkWaits(this->now);
     if (!aDemand.started) {
       aDemand.maxCrossings = crossingsInTime(aExchange, aDemand);
     }
--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -119,7 +119,7 @@
 void
 RelayLoop::Impl::onPeerDraining(const PeerStatus& aStatus)
 {
-  if (aStatus.list <= this->view->changed) {
+  if (aStatus.list <= this->view->lastChange) {
     return;
   }
   for (const std::string& replica : aStatus.draining) {
@@ -134,7 +134,7 @@
 {
   std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
     const PeerDrainReport& report = aEntry.second;
-    return report.list <= this->view->changed ||
+    return report.list <= this->view->lastChange ||
            this->now - report.heard > this->settings.drain * kDrainReportBounds;
   });
 }
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -118,7 +118,7 @@
     if (this->waiting.empty()) {
       this->timers.arm(kWaitingKey, this->now + kWaitPause);
     }
-    this->waiting.join(this->waiterOf(aExchange));
+    this->waiting.add(this->waiterOf(aExchange));
     return;
   }
   this->refuse(aExchange, target.error(), aExchange.runs == 0);
@@ -146,7 +146,7 @@
   aExchange.lastProgress = this->now;
   aExchange.asking = false;
   ++aExchange.sends;
-  this->waiting.leave(aExchange.id);
+  this->waiting.remove(aExchange.id);
   this->replicaLimits.onSent(aTarget.replica, this->now);
   this->addLoad(aExchange);
   this->payCrossings(aExchange, aTarget.path);
@@ -239,7 +239,7 @@
 RelayLoop::Impl::endExchange(Exchange& aExchange)
 {
   this->removeLoad(aExchange);
-  this->waiting.leave(aExchange.id);
+  this->waiting.remove(aExchange.id);
   this->timers.cancel(aExchange.id);
   this->exchanges.erase(aExchange.id);
   --this->openCount;
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -66,7 +66,7 @@
 bool
 RelayLoop::Impl::takesRequests(const std::string& aReplica)
 {
-  return this->replicaLimits.open(aReplica, this->now);
+  return this->replicaLimits.maySend(aReplica, this->now);
 }
 
 /** Deals the limits out to the relays that are heard. */
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -254,10 +254,10 @@
 RelayLoop::Impl::publishLost()
 {
   RelayShared::LostReplicas lost;
-  for (const std::string& replica : this->health.lost(this->now)) {
+  for (const std::string& replica : this->health.deadReplicas(this->now)) {
     lost.emplace(replica, false);
   }
-  for (const std::string& replica : this->health.named(this->now)) {
+  for (const std::string& replica : this->health.blockedOn(this->now)) {
     lost.insert_or_assign(replica, true);
   }
   for (const auto& [replica, pace] : this->health.degraded()) {
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -79,7 +79,7 @@
                static_cast<std::uint32_t>(load.prefillTokens),
                load.pathStarts });
   }
-  for (const std::string& replica : this->health.named(this->now)) {
+  for (const std::string& replica : this->health.blockedOn(this->now)) {
     status.lost.push_back(replica);
   }
   for (const auto& [replica, since] : this->ended) {
@@ -88,7 +88,7 @@
   for (const std::string& replica : this->drainingReplicas()) {
     status.draining.push_back(replica);
   }
-  for (const std::string& replica : this->health.lost(this->now)) {
+  for (const std::string& replica : this->health.deadReplicas(this->now)) {
     status.unreachable.push_back(replica);
   }
   status.slow = this->health.degraded();
@@ -96,7 +96,7 @@
   const Duration age = this->shared.freshness.age();
   status.config = config ? config->version : 0;
   status.configAge = age == Duration::max() ? -1 : age.count();
-  status.list = this->view->changed;
+  status.list = this->view->lastChange;
   status.polls = this->shared.polls;
   status.pollsFail = this->shared.pollsFail;
   status.holdsLease = this->shared.holdsLease;
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -158,11 +158,11 @@
   if (!aReport.reached && this->movesAt(aReplica)) {
     // Too busy to answer in time, but its streams move: taking it for dead
     // used up the attempts of all of them.
-    this->health.onPace(aReplica, kDegradedSlowdown);
+    this->health.onSlowdown(aReplica, kDegradedSlowdown);
     return;
   }
   if (!aReport.reached) {
-    this->health.onPace(aReplica, 1);
+    this->health.onSlowdown(aReplica, 1);
     this->health.onFailure(aReplica, ReplicaFailure::Unreachable, this->now);
     this->onFaultyReplica(aReplica);
     return;
@@ -176,7 +176,7 @@
   }
   // What runs there goes on, slower: moving hundreds of streams at once would
   // take the pipes between zones for longer than the slow part costs them.
-  this->health.onPace(aReplica, aReport.pace);
+  this->health.onSlowdown(aReplica, aReport.pace);
   if (aReport.stalled.empty()) {
     this->askRestOfPaths(aReplica);
     return;
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -31,7 +31,7 @@
   waiter.started = aExchange.answering;
   waiter.urgency = urgencyOf(aExchange);
   waiter.tokens = aExchange.need.prompt + aExchange.need.answer;
-  waiter.onTimeUntil =
+  waiter.latestOnTimeStart =
     aExchange.arrived + aExchange.route->objective / kReadingPart;
   return waiter;
 }
@@ -48,14 +48,14 @@
     this->beginRound();
   }
   const Waiter waiter = this->waiterOf(aExchange);
-  if (!this->waiting.worthTrying(waiter)) {
+  if (!this->waiting.mayFindPath(waiter)) {
     this->shared.metrics.count("path_searches_saved_total");
     return fail(ErrorKind::Overloaded,
                 "no path has memory and a slot for the request");
   }
   Result<AttemptTarget> target = this->choose(aExchange);
   if (!target) {
-    this->waiting.onRefused(waiter);
+    this->waiting.onNoPath(waiter);
   }
   return target;
 }
--- a/src/relay/ReplicaListUpdate.cpp
+++ b/src/relay/ReplicaListUpdate.cpp
@@ -53,7 +53,7 @@
   ReplicaListUpdate update;
   update.after = aDelta.after;
   update.next = aDelta.poll.next;
-  update.changed = aDelta.poll.changed;
+  update.changed = aDelta.poll.lastChange;
   for (const Replica& replica : aDelta.poll.present) {
     update.present.push_back(rowOf(replica));
   }
@@ -70,7 +70,7 @@
   ReplicaListDelta delta;
   delta.after = aUpdate.after;
   delta.poll.next = aUpdate.next;
-  delta.poll.changed = aUpdate.changed;
+  delta.poll.lastChange = aUpdate.changed;
   for (const ReplicaRow& row : aUpdate.present) {
     std::optional<Replica> replica = replicaOf(row);
     if (!replica) {
--- a/tests/unit/fleet/LinkBudgetTest.cpp
+++ b/tests/unit/fleet/LinkBudgetTest.cpp
@@ -16,12 +16,13 @@
 {
   LinkBudget budget;
   budget.setRate(kShare);
-  EXPECT_TRUE(budget.closed(kStart).empty());
+  EXPECT_TRUE(budget.closedLinks(kStart).empty());
   // Twice the share of a second, less what stood ready for 200 ms of it.
   budget.take(kLink, 2 * kShare, kStart);
-  EXPECT_TRUE(budget.closed(kStart).contains(zonePair("a", "b")));
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kLink));
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'810 }).empty());
+  EXPECT_TRUE(budget.closedLinks(kStart).contains(zonePair("a", "b")));
+  EXPECT_TRUE(
+    budget.closedLinks(kStart + milliseconds{ 1'790 }).contains(kLink));
+  EXPECT_TRUE(budget.closedLinks(kStart + milliseconds{ 1'810 }).empty());
 }
 
 TEST(LinkBudgetTest, EachPipeHasABucketOfItsOwn)
@@ -29,7 +30,7 @@
   LinkBudget budget;
   budget.setRate(kShare);
   budget.take(kLink, 2 * kShare, kStart);
-  EXPECT_FALSE(budget.closed(kStart).contains(kOther));
+  EXPECT_FALSE(budget.closedLinks(kStart).contains(kOther));
 }
 
 TEST(LinkBudgetTest, ManyStreamsAtOnceCannotHoldThePipeForLong)
@@ -44,7 +45,7 @@
   int sent = 0;
   for (int round = 0; round < 10; ++round) {
     for (int stream = 0; stream < 70; ++stream) {
-      if (!budget.closed(now).contains(kLink)) {
+      if (!budget.closedLinks(now).contains(kLink)) {
         budget.take(kLink, kPrompt, now);
         ++sent;
       }
@@ -66,11 +67,12 @@
                          static_cast<std::uint64_t>(aSeconds * kShare) } };
   };
   budget.onPeer("other", total(100), kStart);
-  EXPECT_TRUE(budget.closed(kStart).empty());
+  EXPECT_TRUE(budget.closedLinks(kStart).empty());
   budget.onPeer("other", total(102), kStart);
   budget.onPeer("other", total(102), kStart);
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'790 }).contains(kLink));
-  EXPECT_TRUE(budget.closed(kStart + milliseconds{ 1'810 }).empty());
+  EXPECT_TRUE(
+    budget.closedLinks(kStart + milliseconds{ 1'790 }).contains(kLink));
+  EXPECT_TRUE(budget.closedLinks(kStart + milliseconds{ 1'810 }).empty());
   EXPECT_TRUE(budget.own().empty());
 }
 
@@ -78,10 +80,10 @@
 {
   LinkBudget budget;
   budget.setRate(kShare);
-  EXPECT_TRUE(budget.waits(kStart).empty());
+  EXPECT_TRUE(budget.linkWaits(kStart).empty());
   budget.take(kLink, kShare / 10, kStart);
-  EXPECT_EQ(budget.waits(kStart).at(kLink), milliseconds{ 100 });
-  EXPECT_EQ(budget.waits(kStart + milliseconds{ 60 }).at(kLink),
+  EXPECT_EQ(budget.linkWaits(kStart).at(kLink), milliseconds{ 100 });
+  EXPECT_EQ(budget.linkWaits(kStart + milliseconds{ 60 }).at(kLink),
             milliseconds{ 40 });
   EXPECT_EQ(budget.own().at(kLink), 100'000U);
 }
--- a/tests/unit/fleet/LossReportsTest.cpp
+++ b/tests/unit/fleet/LossReportsTest.cpp
@@ -19,7 +19,7 @@
 {
   LossReports reports;
   LossReport report;
-  report.named.insert("one");
+  report.blockedOn.insert("one");
   EXPECT_TRUE(reports.onPeer("a", report, kStart));
   EXPECT_TRUE(reports.lost("one", false, 20));
   EXPECT_FALSE(reports.lost("two", false, 20));
@@ -51,7 +51,7 @@
 {
   LossReports reports;
   LossReport report;
-  report.named.insert("one");
+  report.blockedOn.insert("one");
   report.slow.emplace("two", 3.0);
   reports.onPeer("a", report, kStart);
   EXPECT_EQ(reports.slowdown("two"), 3.0);
--- a/tests/unit/fleet/PathFinderTest.cpp
+++ b/tests/unit/fleet/PathFinderTest.cpp
@@ -146,7 +146,7 @@
   ASSERT_TRUE(path);
   EXPECT_EQ(path.value().crossings,
             std::vector<ZonePair>{ zonePair("b", "a") });
-  demand.closed.insert(zonePair("a", "b"));
+  demand.closedLinks.insert(zonePair("a", "b"));
   const auto none = findPath(smallProfile(), candidatesOf(replicas), demand);
   ASSERT_FALSE(none);
   EXPECT_EQ(none.error().kind, ErrorKind::Overloaded);
@@ -206,8 +206,8 @@
   };
   PathDemand demand = demandIn("a");
   for (const std::string busy : { "b", "c" }) {
-    demand.waits = { { zonePair("a", busy),
-                       std::chrono::milliseconds{ 100 } } };
+    demand.linkWaits = { { zonePair("a", busy),
+                           std::chrono::milliseconds{ 100 } } };
     const auto path = findPath(smallProfile(), candidatesOf(replicas), demand);
     ASSERT_TRUE(path);
     EXPECT_EQ(path.value().crossings,
--- a/tests/unit/fleet/ReplicaHealthTest.cpp
+++ b/tests/unit/fleet/ReplicaHealthTest.cpp
@@ -19,7 +19,7 @@
   health.onFailure("one", ReplicaFailure::Unreachable, kStart);
   EXPECT_FALSE(health.usable("one", kStart + seconds{ 3 }));
   EXPECT_TRUE(health.usable("one", kStart + seconds{ 5 }));
-  EXPECT_EQ(health.lost(kStart + seconds{ 1 }).count("one"), 1U);
+  EXPECT_EQ(health.deadReplicas(kStart + seconds{ 1 }).count("one"), 1U);
 }
 
 TEST(ReplicaHealth, OnlyWhatAnotherReplicaNamedIsToldToOthers)
@@ -29,7 +29,7 @@
   ReplicaHealth health{ kHeartbeat };
   health.onFailure("mine", ReplicaFailure::Unreachable, kStart);
   health.onFailure("named", ReplicaFailure::Stalled, kStart);
-  const auto named = health.named(kStart + milliseconds{ 10 });
+  const auto named = health.blockedOn(kStart + milliseconds{ 10 });
   EXPECT_EQ(named.size(), 1U);
   EXPECT_EQ(named.count("named"), 1U);
 }
@@ -42,7 +42,7 @@
   // What it runs goes on: moving it would use up an attempt.
   EXPECT_FALSE(health.dead("one", kStart + milliseconds{ 100 }));
   EXPECT_TRUE(health.usable("one", kStart + milliseconds{ 500 }));
-  EXPECT_TRUE(health.lost(kStart).empty());
+  EXPECT_TRUE(health.deadReplicas(kStart).empty());
 }
 
 TEST(ReplicaHealth, OneResetIsNotADeath)
@@ -63,16 +63,16 @@
   health.onFailure("one", ReplicaFailure::Stalled, kStart);
   health.onSuccess("one");
   EXPECT_TRUE(health.usable("one", kStart));
-  EXPECT_TRUE(health.named(kStart).empty());
+  EXPECT_TRUE(health.blockedOn(kStart).empty());
 }
 
 TEST(ReplicaHealth, SlowOnesAreTold)
 {
   ReplicaHealth health{ kHeartbeat };
-  health.onPace("slow", 12);
-  health.onPace("well", 1.1);
+  health.onSlowdown("slow", 12);
+  health.onSlowdown("well", 1.1);
   EXPECT_EQ(health.degraded().size(), 1U);
-  health.onPace("slow", 1);
+  health.onSlowdown("slow", 1);
   EXPECT_TRUE(health.degraded().empty());
 }
 
--- a/tests/unit/fleet/ReplicaLimitsTest.cpp
+++ b/tests/unit/fleet/ReplicaLimitsTest.cpp
@@ -57,7 +57,7 @@
          this->now += kStep) {
       const bool tells = (this->now - kStart) % kWord < kStep;
       for (std::size_t i = 0; i < this->limits.size(); ++i) {
-        if (aWants(i) && this->limits[i].open(kReplica, this->now)) {
+        if (aWants(i) && this->limits[i].maySend(kReplica, this->now)) {
           this->limits[i].onSent(kReplica, this->now);
           this->sent.push_back(this->now);
           if (aAnswers) {
@@ -110,7 +110,7 @@
 TEST(ReplicaLimits, AReplicaWithoutALimitIsOpen)
 {
   ReplicaLimits limits;
-  EXPECT_TRUE(limits.open(kReplica, kStart));
+  EXPECT_TRUE(limits.maySend(kReplica, kStart));
   EXPECT_FALSE(limits.onAnswer(kReplica, kZone, std::nullopt, kStart));
   EXPECT_FALSE(limits.limited(kReplica));
 }
@@ -158,7 +158,7 @@
     fleet.play(seconds{ 10 }, 1.4, one);
     EXPECT_GE(fleet.sent.size(), 2U);
     fleet.play(seconds{ 10 }, std::nullopt, one);
-    EXPECT_TRUE(fleet.limits[busy].open(kReplica, fleet.now));
+    EXPECT_TRUE(fleet.limits[busy].maySend(kReplica, fleet.now));
     EXPECT_FALSE(fleet.limits[busy].limited(kReplica));
   }
 }
@@ -173,7 +173,7 @@
   fleet.limits[2].onAnswer(kReplica, kZone, std::nullopt, fleet.now);
   fleet.tell();
   for (ReplicaLimits& limits : fleet.limits) {
-    EXPECT_TRUE(limits.open(kReplica, fleet.now));
+    EXPECT_TRUE(limits.maySend(kReplica, fleet.now));
     EXPECT_EQ(limits.limitedCount(), 0U);
   }
 }
@@ -195,7 +195,7 @@
   limits.onAnswer(kReplica, kZone, 8, kStart);
   int sent = 0;
   for (TimePoint now = kStart; now < kStart + seconds{ 10 }; now += kStep) {
-    if (limits.open(kReplica, now)) {
+    if (limits.maySend(kReplica, now)) {
       limits.onSent(kReplica, now);
       ++sent;
     }
--- a/tests/unit/fleet/ReplicaListTest.cpp
+++ b/tests/unit/fleet/ReplicaListTest.cpp
@@ -15,7 +15,7 @@
 wholeOf(const std::vector<std::string>& aIds)
 {
   ReplicaPoll poll;
-  poll.whole = true;
+  poll.fullSnapshot = true;
   poll.next = 1;
   for (const std::string& id : aIds) {
     poll.present.push_back(replicaOf(id, "a", "slow"));
@@ -116,7 +116,7 @@
   EXPECT_EQ(this->list.size(), 2U);
   EXPECT_TRUE(this->list.uncertain());
   ReplicaPoll back = wholeOf({ "one" });
-  back.whole = false;
+  back.fullSnapshot = false;
   this->list.onPoll(back, this->in(seconds{ 9 }));
   EXPECT_FALSE(this->list.expire(this->in(seconds{ 10 })));
   EXPECT_EQ(this->list.size(), 2U);
--- a/tests/unit/fleet/StorePollScheduleTest.cpp
+++ b/tests/unit/fleet/StorePollScheduleTest.cpp
@@ -54,12 +54,12 @@
   // The look under way waits on a connection that fell silent, and the relays
   // whose proofs would do are gone. Keys are trusted for 4 s after a proof.
   const Duration deadline = seconds{ 4 };
-  EXPECT_FALSE(
-    StorePollSchedule::wantsProof(milliseconds{ 900 }, seconds{ 5 }, deadline));
-  EXPECT_TRUE(StorePollSchedule::wantsProof(
+  EXPECT_FALSE(StorePollSchedule::needsProofRead(
+    milliseconds{ 900 }, seconds{ 5 }, deadline));
+  EXPECT_TRUE(StorePollSchedule::needsProofRead(
     milliseconds{ 1'500 }, seconds{ 5 }, deadline));
   // One call a second is enough, also where it brings no proof.
-  EXPECT_FALSE(StorePollSchedule::wantsProof(
+  EXPECT_FALSE(StorePollSchedule::needsProofRead(
     seconds{ 30 }, milliseconds{ 300 }, deadline));
 }
 
@@ -69,17 +69,18 @@
   // on. The read beside the look that hangs must have ended by then: asked for
   // at the next check, 200 ms later at most, it takes up to 600 ms.
   for (const Duration deadline : { seconds{ 2 }, seconds{ 3 } }) {
-    const Duration latest =
-      deadline - milliseconds{ 300 + 200 } - StorePollSchedule::kProofRead;
-    EXPECT_TRUE(StorePollSchedule::wantsProof(latest, seconds{ 5 }, deadline));
+    const Duration latest = deadline - milliseconds{ 300 + 200 } -
+                            StorePollSchedule::kProofReadTimeout;
+    EXPECT_TRUE(
+      StorePollSchedule::needsProofRead(latest, seconds{ 5 }, deadline));
   }
 }
 
 TEST(StorePollScheduleTest, BurstsAreGatheredLongerBeforeTheFirstRequest)
 {
-  EXPECT_LT(StorePollSchedule::gatherPause(true),
-            StorePollSchedule::gatherPause(false));
-  EXPECT_LT(StorePollSchedule::gatherPause(false), seconds{ 1 });
+  EXPECT_LT(StorePollSchedule::batchDelay(true),
+            StorePollSchedule::batchDelay(false));
+  EXPECT_LT(StorePollSchedule::batchDelay(false), seconds{ 1 });
 }
 
 } // namespace
--- a/tests/unit/fleet/WaitQueueTest.cpp
+++ b/tests/unit/fleet/WaitQueueTest.cpp
@@ -20,7 +20,7 @@
     waiter.request = aRequest;
     waiter.service = "model";
     waiter.tokens = aTokens;
-    waiter.onTimeUntil = in(aArrived + milliseconds{ 250 });
+    waiter.latestOnTimeStart = in(aArrived + milliseconds{ 250 });
     return waiter;
   }
 
@@ -37,7 +37,7 @@
          std::pair{ 2U, milliseconds{ 100 } },
          std::pair{ 3U, milliseconds{ 400 } },
          std::pair{ 4U, milliseconds{ 450 } } }) {
-    this->queue.join(waiter(request, arrived));
+    this->queue.add(waiter(request, arrived));
   }
   EXPECT_EQ(this->queue.order(in(milliseconds{ 500 })),
             (std::vector<std::uint64_t>{ 3, 4, 1, 2 }));
@@ -45,25 +45,25 @@
 
 TEST_F(WaitQueueTest, StartedStreamsAndUrgentOnesGoBeforeOthers)
 {
-  this->queue.join(waiter(1, milliseconds{ 0 }));
+  this->queue.add(waiter(1, milliseconds{ 0 }));
   Waiter urgent = waiter(2, milliseconds{ 0 });
   urgent.urgency = -1;
-  this->queue.join(urgent);
+  this->queue.add(urgent);
   Waiter started = waiter(3, milliseconds{ 0 });
   started.started = true;
   started.urgency = 9;
-  this->queue.join(started);
+  this->queue.add(started);
   EXPECT_EQ(this->queue.order(in(milliseconds{ 1 })),
             (std::vector<std::uint64_t>{ 3, 2, 1 }));
-  this->queue.leave(3);
+  this->queue.remove(3);
   EXPECT_EQ(this->queue.size(), 2U);
 }
 
 TEST_F(WaitQueueTest, JoiningAgainKeepsThePlace)
 {
-  this->queue.join(waiter(1, milliseconds{ 0 }));
-  this->queue.join(waiter(2, milliseconds{ 0 }));
-  this->queue.join(waiter(1, milliseconds{ 0 }));
+  this->queue.add(waiter(1, milliseconds{ 0 }));
+  this->queue.add(waiter(2, milliseconds{ 0 }));
+  this->queue.add(waiter(1, milliseconds{ 0 }));
   EXPECT_EQ(this->queue.order(in(milliseconds{ 1 })),
             (std::vector<std::uint64_t>{ 1, 2 }));
 }
@@ -74,16 +74,16 @@
   // a path by itself every 25 ms, and the relay had no time left for the
   // answers under way.
   for (std::uint64_t request = 1; request <= 60; ++request) {
-    this->queue.join(waiter(request, milliseconds{ 0 }));
+    this->queue.add(waiter(request, milliseconds{ 0 }));
   }
   for (int round = 0; round < 3; ++round) {
     this->queue.beginRound();
     int searches = 0;
     for (std::uint64_t request = 1; request <= 60; ++request) {
       const Waiter one = waiter(request, milliseconds{ 0 });
-      if (this->queue.worthTrying(one)) {
+      if (this->queue.mayFindPath(one)) {
         ++searches;
-        this->queue.onRefused(one);
+        this->queue.onNoPath(one);
       }
     }
     EXPECT_EQ(searches, 1);
@@ -92,16 +92,16 @@
 
 TEST_F(WaitQueueTest, ASmallerRequestIsTriedWhereALargerOneFoundNothing)
 {
-  this->queue.onRefused(waiter(1, milliseconds{ 0 }, 4'000));
-  EXPECT_TRUE(this->queue.worthTrying(waiter(2, milliseconds{ 0 }, 800)));
-  EXPECT_FALSE(this->queue.worthTrying(waiter(3, milliseconds{ 0 }, 5'000)));
+  this->queue.onNoPath(waiter(1, milliseconds{ 0 }, 4'000));
+  EXPECT_TRUE(this->queue.mayFindPath(waiter(2, milliseconds{ 0 }, 800)));
+  EXPECT_FALSE(this->queue.mayFindPath(waiter(3, milliseconds{ 0 }, 5'000)));
   Waiter other = waiter(4, milliseconds{ 0 }, 5'000);
   other.service = "other model";
-  EXPECT_TRUE(this->queue.worthTrying(other));
+  EXPECT_TRUE(this->queue.mayFindPath(other));
   // A started stream may book more, so what the others found says nothing.
   Waiter started = waiter(5, milliseconds{ 0 }, 5'000);
   started.started = true;
-  EXPECT_TRUE(this->queue.worthTrying(started));
+  EXPECT_TRUE(this->queue.mayFindPath(started));
 }
 
 } // namespace
--- a/tests/unit/relay/FleetControlTest.cpp
+++ b/tests/unit/relay/FleetControlTest.cpp
@@ -149,7 +149,7 @@
 listOf(const std::string& aId)
 {
   ReplicaPoll poll;
-  poll.whole = true;
+  poll.fullSnapshot = true;
   poll.present.push_back(replicaOf(aId, "a", "slow"));
   return poll;
 }
@@ -278,10 +278,10 @@
   this->store.willAnswer(pollOf(5));
   this->store.willList(first);
   ReplicaListDelta hole{ 8, listOf("three") };
-  hole.poll.whole = false;
+  hole.poll.fullSnapshot = false;
   hole.poll.next = 9;
   ReplicaListDelta joined{ 5, listOf("two") };
-  joined.poll.whole = false;
+  joined.poll.fullSnapshot = false;
   joined.poll.next = 6;
   this->shared.polls = false;
   const auto count = this->listedAfter(
@@ -304,7 +304,7 @@
   this->store.willAnswer(pollOf(5));
   this->store.willList(first);
   ReplicaListDelta lapsed{ 5, listOf("two") };
-  lapsed.poll.whole = false;
+  lapsed.poll.fullSnapshot = false;
   lapsed.poll.next = 6;
   lapsed.poll.removed = { "one" };
   this->shared.polls = false;
--- a/tests/unit/relay/RelayWorld.h
+++ b/tests/unit/relay/RelayWorld.h
@@ -135,7 +135,7 @@
   void publishReplicas(std::uint64_t aVersion)
   {
     ReplicaView view = ReplicaView::of(aVersion, this->replicas);
-    view.changed = aVersion;
+    view.lastChange = aVersion;
     this->shared.replicas.replace(
       std::make_shared<const ReplicaView>(std::move(view)));
   }
--- a/tests/unit/users_platform/UsersStoreTest.cpp
+++ b/tests/unit/users_platform/UsersStoreTest.cpp
@@ -120,7 +120,7 @@
   }
   const auto poll = this->store.readReplicas(kTimeout);
   ASSERT_TRUE(poll);
-  EXPECT_TRUE(poll.value().whole);
+  EXPECT_TRUE(poll.value().fullSnapshot);
   EXPECT_EQ(poll.value().present.size(), 1'100U);
   this->standin.drop("servers", "i-5");
   const auto change =
