--- a/include/poplartrack/relay/RequestGate.h
+++ b/include/poplartrack/relay/RequestGate.h
@@ -49,13 +49,13 @@
   /** While nothing says that the store is away, a configuration that was known
    * to be the newest longer ago is not used: a look at it hangs, and a newer
    * one may have been in force for that long. */
-  Duration configAge = std::chrono::milliseconds{ 1'700 };
+  Duration maxConfigAge = std::chrono::milliseconds{ 1'700 };
   /** A request with a key is sent only while the configuration was known to
    * be the newest this long ago. */
-  Duration keyAge = std::chrono::milliseconds{ 3'800 };
+  Duration maxKeyAge = std::chrono::milliseconds{ 3'800 };
   /** Up to this age "no such route" and "no such key" are certain enough to
    * say. */
-  Duration denyAge = std::chrono::milliseconds{ 3'800 };
+  Duration maxDenyAge = std::chrono::milliseconds{ 3'800 };
 };
 
 /**
--- a/src/relay/Exchange.h
+++ b/src/relay/Exchange.h
@@ -30,7 +30,7 @@
   MessageHead head;
   std::string body;
   std::string requestId;
-  /** What it asks for, once somebody wanted to know; see contentOf. */
+  /** What it asks for, once somebody wanted to know; see contentFingerprint. */
   std::optional<Fingerprint> content;
   /** Keeps route and account alive. */
   std::shared_ptr<const RelayConfig> config;
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -49,7 +49,7 @@
 }
 
 const Fingerprint&
-contentOf(Exchange& aExchange)
+contentFingerprint(Exchange& aExchange)
 {
   if (!aExchange.content) {
     const bool known = aExchange.account != nullptr;
@@ -143,7 +143,7 @@
   aExchange.giveUpAt = aExchange.arrived + admitted.patience;
   aExchange.service = this->pickService(aExchange);
   this->budgetOf(aExchange).onRequest(this->now);
-  aExchange.need = this->needOf(aExchange);
+  aExchange.need = this->estimateTokenNeed(aExchange);
   if (const auto last = numberIn(headers.find(this->names.lastEventId))) {
     aExchange.lastEvent = static_cast<std::uint64_t>(*last);
   }
@@ -157,7 +157,7 @@
 }
 
 bool
-RelayLoop::Impl::fresh(const Exchange& aExchange) const
+RelayLoop::Impl::isConfigFresh(const Exchange& aExchange) const
 {
   return isUsable(this->configProof(), this->gate, aExchange.keyed);
 }
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -81,16 +81,16 @@
                               ReplicaConnection& aConnection)
 {
   const MessageHead& head = aConnection.parser->head();
-  this->noteLimit(aExchange, head);
+  this->recordRateLimit(aExchange, head);
   const bool notRun = head.headers.find(this->names.notRun).has_value() ||
                       head.status == kMisdirected;
   if (notRun) {
-    this->onNotRun(aExchange, head);
+    this->onNotExecuted(aExchange, head);
     return;
   }
   const bool stamped = head.headers.find(this->names.stamp).has_value();
   if (isSuccess(head.status) && !stamped) {
-    this->onBroken(aExchange, ReplicaFailure::Faulty, "no stamp");
+    this->onAttemptFailed(aExchange, ReplicaFailure::Faulty, "no stamp");
     return;
   }
   if (isSuccess(head.status) && aExchange.route->rule == RetryRule::Stream) {
@@ -104,14 +104,14 @@
 {
   const int status = aConnection.parser->head().status;
   if (aExchange.streaming && isSuccess(status)) {
-    this->passEvents(aExchange, aConnection.parser->takeBody(), false);
+    this->forwardEvents(aExchange, aConnection.parser->takeBody(), false);
   }
 }
 
 void
-RelayLoop::Impl::passEvents(Exchange& aExchange,
-                            const std::string& aBytes,
-                            bool aEnd)
+RelayLoop::Impl::forwardEvents(Exchange& aExchange,
+                               const std::string& aBytes,
+                               bool aEnd)
 {
   std::string out;
   for (const StreamEvent& event : aExchange.splitter.feed(aBytes)) {
@@ -148,7 +148,7 @@
       aExchange.runningSince = this->now;
     }
     this->endPrefill(aExchange);
-    this->noteRepaired(aExchange);
+    this->recordRepairTime(aExchange);
     text.append(chunkOf(out));
     aExchange.lastProgress = this->now;
     aExchange.asking = false;
@@ -163,7 +163,7 @@
 
 /** The first event after a repair tells how long it took. */
 void
-RelayLoop::Impl::noteRepaired(Exchange& aExchange)
+RelayLoop::Impl::recordRepairTime(Exchange& aExchange)
 {
   if (!aExchange.repairedAt) {
     return;
@@ -212,20 +212,20 @@
   }
   if (exchange.answering && !stream) {
     // A resumed attempt failed after the stream's head had gone out.
-    this->onBroken(exchange, ReplicaFailure::Faulty, "resume refused");
+    this->onAttemptFailed(exchange, ReplicaFailure::Faulty, "resume refused");
     return;
   }
   const std::string body = connection.parser->takeBody();
   if (stream) {
-    this->passEvents(exchange, body, true);
+    this->forwardEvents(exchange, body, true);
   }
   if (isSuccess(head.status)) {
-    this->noteServed(exchange);
+    this->recordServed(exchange);
   }
   exchange.connection = 0;
   this->releaseReplica(connection);
   if (!stream) {
-    this->passWhole(exchange, head, body);
+    this->forwardWholeAnswer(exchange, head, body);
   }
   this->shared.metrics.count("answers_total");
   this->shared.metrics.observe("answer_seconds", this->now - exchange.arrived);
@@ -239,9 +239,9 @@
 }
 
 void
-RelayLoop::Impl::passWhole(Exchange& aExchange,
-                           const MessageHead& aHead,
-                           const std::string& aBody)
+RelayLoop::Impl::forwardWholeAnswer(Exchange& aExchange,
+                                    const MessageHead& aHead,
+                                    const std::string& aBody)
 {
   const auto caller = this->callers.find(aExchange.caller);
   if (caller == this->callers.end()) {
@@ -259,12 +259,13 @@
 
 /** The replica, or one on its path, says that the request did not run. */
 void
-RelayLoop::Impl::onNotRun(Exchange& aExchange, const MessageHead& aHead)
+RelayLoop::Impl::onNotExecuted(Exchange& aExchange, const MessageHead& aHead)
 {
   std::string faulty = aExchange.replica;
   if (const auto at = aHead.headers.find(this->names.faultyReplica)) {
     const Result<Address> address = addressFromText(*at);
-    const Replica* named = address ? this->replicaAt(address.value()) : nullptr;
+    const Replica* named =
+      address ? this->replicaByAddress(address.value()) : nullptr;
     faulty = named != nullptr ? named->id : faulty;
   }
   const bool path = !aExchange.path.parts.empty();
@@ -297,9 +298,9 @@
 
 /** The present attempt has ended without a whole answer. */
 void
-RelayLoop::Impl::onBroken(Exchange& aExchange,
-                          ReplicaFailure aFailure,
-                          std::string_view aCause)
+RelayLoop::Impl::onAttemptFailed(Exchange& aExchange,
+                                 ReplicaFailure aFailure,
+                                 std::string_view aCause)
 {
   constexpr std::int64_t kMicrosPerMs = 1000;
   const bool ran = this->mayHaveRun(aExchange);
@@ -311,7 +312,7 @@
       .with("cause", aCause)
       .with("sent", ran ? 1 : 0)
       .with("events", aExchange.events)
-      .with("content", toText(contentOf(aExchange)))
+      .with("content", toText(contentFingerprint(aExchange)))
       .with("there_ms", (this->now - aExchange.sentAt).count() / kMicrosPerMs));
   aExchange.avoid.insert(aExchange.replica);
   this->dropAttempt(aExchange, ran);
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -84,7 +84,7 @@
 }
 
 TokenNeed
-RelayLoop::Impl::needOf(const Exchange& aExchange) const
+RelayLoop::Impl::estimateTokenNeed(const Exchange& aExchange) const
 {
   TokenNeed need;
   if (aExchange.service == nullptr || !aExchange.service->engine) {
@@ -153,7 +153,7 @@
 }
 
 const Replica*
-RelayLoop::Impl::replicaAt(const Address& aAddress) const
+RelayLoop::Impl::replicaByAddress(const Address& aAddress) const
 {
   for (const Replica& replica : this->view->replicas) {
     if (replica.address == aAddress) {
@@ -164,7 +164,7 @@
 }
 
 const Replica*
-RelayLoop::Impl::replicaOf(const std::string& aId) const
+RelayLoop::Impl::replicaById(const std::string& aId) const
 {
   for (const Replica& replica : this->view->replicas) {
     if (replica.id == aId) {
@@ -213,7 +213,7 @@
   }
   for (const std::size_t place : listed->second) {
     const Replica& replica = this->view->replicas[place];
-    if (this->leaves(replica) || this->isLost(replica.id) ||
+    if (this->isDraining(replica) || this->isLost(replica.id) ||
         !this->health.usable(replica.id, this->now)) {
       continue;
     }
@@ -261,7 +261,8 @@
 /** Books what a path takes of the pipes between zones: the prompt's activations
  * and those of each token that is written. */
 void
-RelayLoop::Impl::payCrossings(const Exchange& aExchange, const LayerPath& aPath)
+RelayLoop::Impl::reserveLinkCapacity(const Exchange& aExchange,
+                                     const LayerPath& aPath)
 {
   const double tokens = aExchange.need.prompt + aExchange.need.answer;
   for (const ZonePair& zones : aPath.crossings) {
@@ -285,7 +286,7 @@
     return path.error();
   }
   const PathPart& first = path.value().parts.front();
-  const Replica* replica = this->replicaOf(first.replica);
+  const Replica* replica = this->replicaById(first.replica);
   if (replica == nullptr) {
     return fail(ErrorKind::NoRoute, "the path's first replica has left");
   }
@@ -305,7 +306,7 @@
   bool limited = false;
   for (const std::size_t place : listed->second) {
     const Replica& replica = this->view->replicas[place];
-    if (this->leaves(replica)) {
+    if (this->isDraining(replica)) {
       continue;
     }
     const auto load = this->plainLoad.find(replica.id);
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -29,7 +29,7 @@
  * request may have done that. A replica that leaves ends as planned; one that
  * falls silent is rather cut off. */
 void
-RelayLoop::Impl::watchCrash(Exchange& aExchange, ConnectionEnd aEnd)
+RelayLoop::Impl::recordPossibleCrash(Exchange& aExchange, ConnectionEnd aEnd)
 {
   const bool planned = this->drainingSince.contains(aExchange.replica);
   if (planned || !this->mayHaveRun(aExchange)) {
@@ -39,7 +39,8 @@
     !aExchange.runningSince || this->now - *aExchange.runningSince < kJustBegun;
   const bool early = justBegun && aEnd == ConnectionEnd::Closed;
   this->crashWatch.onBroken(
-    CrashReport{ contentOf(aExchange), aExchange.replica, early }, this->now);
+    CrashReport{ contentFingerprint(aExchange), aExchange.replica, early },
+    this->now);
 }
 
 /**
@@ -48,12 +49,12 @@
  * miss the replica, or the list.
  */
 bool
-RelayLoop::Impl::hasEnded(const std::string& aReplica) const
+RelayLoop::Impl::hasExited(const std::string& aReplica) const
 {
   // However many relays there are, two decide.
   constexpr std::size_t kAsOfFew = 1;
   return this->ended.contains(aReplica) ||
-         this->replicaOf(aReplica) == nullptr ||
+         this->replicaById(aReplica) == nullptr ||
          this->reports.lost(
            aReplica, this->health.dead(aReplica, this->now), kAsOfFew);
 }
@@ -63,20 +64,20 @@
 RelayLoop::Impl::confirmCrashes()
 {
   for (const std::string& replica : this->crashWatch.replicas()) {
-    const Replica* listed = this->replicaOf(replica);
+    const Replica* listed = this->replicaById(replica);
     if (listed != nullptr && listed->draining) {
       // It ends as planned.
       this->crashWatch.forget(replica);
       continue;
     }
-    if (!this->hasEnded(replica)) {
+    if (!this->hasExited(replica)) {
       continue;
     }
     for (const CrashReport& report :
          this->crashWatch.onEnded(replica, this->servedContents, this->now)) {
       this->shared.metrics.count("requests_at_ended_replicas_total");
       if (this->crashes.onCrash(report, CrashSource::Own, this->now)) {
-        this->onQuarantine(report.request, true);
+        this->beginQuarantine(report.request, true);
       }
     }
   }
@@ -85,7 +86,7 @@
 
 /** A request is in quarantine from now on. */
 void
-RelayLoop::Impl::onQuarantine(const Fingerprint& aRequest, bool aOwn)
+RelayLoop::Impl::beginQuarantine(const Fingerprint& aRequest, bool aOwn)
 {
   this->shared.log.write(LogLine{ LogPart::Quarantine, "began" }
                            .with("content", toText(aRequest))
@@ -129,7 +130,7 @@
   for (const auto& [id, exchange] : this->exchanges) {
     const bool begun = exchange->runningSince.has_value();
     if (exchange->connection != 0 && !begun &&
-        contentOf(*exchange) == aRequest) {
+        contentFingerprint(*exchange) == aRequest) {
       notBegun.push_back(id);
     }
   }
@@ -152,30 +153,31 @@
   if (this->crashes.empty()) {
     return std::nullopt;
   }
-  return this->crashes.quarantineLeft(contentOf(aExchange), this->now);
+  return this->crashes.quarantineLeft(contentFingerprint(aExchange), this->now);
 }
 
 void
 RelayLoop::Impl::refuseQuarantined(Exchange& aExchange)
 {
-  this->refuse(aExchange,
-               Error{ ErrorKind::Quarantined, toText(contentOf(aExchange)) },
-               aExchange.runs == 0);
+  this->refuse(
+    aExchange,
+    Error{ ErrorKind::Quarantined, toText(contentFingerprint(aExchange)) },
+    aExchange.runs == 0);
 }
 
 /** A replica has run the request to a good end. */
 void
-RelayLoop::Impl::noteServed(Exchange& aExchange)
+RelayLoop::Impl::recordServed(Exchange& aExchange)
 {
-  const Fingerprint& request = contentOf(aExchange);
+  const Fingerprint& request = contentFingerprint(aExchange);
   this->servedContents.onServed(request, this->now);
   if (this->crashes.onServed(request, this->now)) {
-    this->onReleased(request);
+    this->endQuarantine(request);
   }
 }
 
 void
-RelayLoop::Impl::onReleased(const Fingerprint& aRequest)
+RelayLoop::Impl::endQuarantine(const Fingerprint& aRequest)
 {
   this->shared.log.write(LogLine{ LogPart::Quarantine, "released" }.with(
     "content", toText(aRequest)));
@@ -202,7 +204,7 @@
     this->quarantineRead = stored;
     for (const Fingerprint& request : *stored) {
       if (this->crashes.onQuarantined(request, Duration{ 0 }, this->now)) {
-        this->onQuarantine(request, false);
+        this->beginQuarantine(request, false);
       }
     }
   }
@@ -241,19 +243,19 @@
 {
   for (const Fingerprint& request : aStatus.served) {
     if (this->crashes.onServed(request, this->now)) {
-      this->onReleased(request);
+      this->endQuarantine(request);
     }
   }
   for (const CrashRow& row : aStatus.crashes) {
     const CrashReport report{ row.request, row.replica, row.early };
     if (this->crashes.onCrash(report, CrashSource::Peer, this->now)) {
-      this->onQuarantine(row.request, false);
+      this->beginQuarantine(row.request, false);
     }
   }
   for (const QuarantineRow& row : aStatus.quarantine) {
     if (this->crashes.onQuarantined(
           row.request, Duration{ row.age }, this->now)) {
-      this->onQuarantine(row.request, false);
+      this->beginQuarantine(row.request, false);
     }
   }
 }
--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -35,7 +35,7 @@
  * that started again are not among them: nothing of theirs is left to move in
  * time. */
 void
-RelayLoop::Impl::noteDraining(const ReplicaView& aLatest)
+RelayLoop::Impl::recordDraining(const ReplicaView& aLatest)
 {
   std::map<std::string, bool> drains;
   for (const Replica& replica : aLatest.replicas) {
@@ -59,7 +59,7 @@
 
 /** Notes replicas whose endpoint is listed with a later start. */
 void
-RelayLoop::Impl::noteRestarted(const ReplicaView& aLatest)
+RelayLoop::Impl::detectRestarts(const ReplicaView& aLatest)
 {
   std::map<std::string_view, std::string_view> latest;
   for (const Replica& replica : aLatest.replicas) {
@@ -142,7 +142,7 @@
 /** Whether the replica takes no new work, as this relay's list says or that of
  * another one which has a newer list. */
 bool
-RelayLoop::Impl::leaves(const Replica& aReplica) const
+RelayLoop::Impl::isDraining(const Replica& aReplica) const
 {
   return aReplica.draining || this->peerDrainReports.contains(aReplica.id);
 }
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -66,7 +66,7 @@
               static_cast<std::int64_t>(aExchange.path.crossings.size()));
   }
   if (aExchange.namedLimit) {
-    line.with("limit_milli", milliOf(*aExchange.namedLimit));
+    line.with("limit_milli", toMilliRate(*aExchange.namedLimit));
   }
   if (aExchange.streaming) {
     line.with("events", aExchange.events);
@@ -87,7 +87,7 @@
                  aExchange.runs == 0);
     return;
   }
-  if (!this->fresh(aExchange)) {
+  if (!this->isConfigFresh(aExchange)) {
     this->refuse(
       aExchange,
       Error{ ErrorKind::NoConfiguration, "the configuration has become old" },
@@ -95,7 +95,7 @@
     return;
   }
   if (this->quarantineLeft(aExchange) &&
-      !this->crashes.takeTrial(contentOf(aExchange), this->now)) {
+      !this->crashes.takeTrial(contentFingerprint(aExchange), this->now)) {
     this->refuseQuarantined(aExchange);
     return;
   }
@@ -114,7 +114,7 @@
     this->send(aExchange, target.value());
     return;
   }
-  if (this->mayWait(aExchange, target.error().kind)) {
+  if (this->mayKeepWaiting(aExchange, target.error().kind)) {
     if (this->waiting.empty()) {
       this->timers.arm(kWaitingKey, this->now + kWaitPause);
     }
@@ -149,7 +149,7 @@
   this->waiting.leave(aExchange.id);
   this->replicaLimits.onSent(aTarget.replica, this->now);
   this->addLoad(aExchange);
-  this->payCrossings(aExchange, aTarget.path);
+  this->reserveLinkCapacity(aExchange, aTarget.path);
   this->armExchange(aExchange);
   // The answer to HEAD names a length and has no body.
   connection.parser->skip(aExchange.head.method == "HEAD");
@@ -198,14 +198,15 @@
   }
   if (connection->second->state == ReplicaConnection::State::Connecting) {
     if (this->now - aExchange.sentAt >= kConnectPatience) {
-      this->onBroken(aExchange, ReplicaFailure::Unreachable, "connect timeout");
+      this->onAttemptFailed(
+        aExchange, ReplicaFailure::Unreachable, "connect timeout");
       return;
     }
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
       aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
     if (this->now - since >= this->stallTimeoutOf(aExchange)) {
-      this->onOverdue(aExchange);
+      this->onStallTimeout(aExchange);
       return;
     }
   }
@@ -288,9 +289,10 @@
   state.kind = error.kind;
   state.othersServe = this->now - this->peerFreshAt <= kPeerServes;
   state.timeLeft = aExchange.giveUpAt - this->now;
-  state.spread = hashOf(requestId);
+  state.jitterSeed = hashOf(requestId);
   if (state.kind == ErrorKind::Quarantined) {
-    state.lasts = this->quarantineLeft(aExchange).value_or(Duration{ 0 });
+    state.quarantineLeft =
+      this->quarantineLeft(aExchange).value_or(Duration{ 0 });
   }
   this->endExchange(aExchange);
   if (found == this->callers.end()) {
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 std::int64_t
-milliOf(double aPerSecond)
+toMilliRate(double aPerSecond)
 {
   constexpr double kMilli = 1'000;
   return static_cast<std::int64_t>(aPerSecond * kMilli);
@@ -33,7 +33,7 @@
 /** Takes over whether the replica's answer names a limit. Errors and refusals
  * may come without it while it holds. */
 void
-RelayLoop::Impl::noteLimit(Exchange& aExchange, const MessageHead& aHead)
+RelayLoop::Impl::recordRateLimit(Exchange& aExchange, const MessageHead& aHead)
 {
   constexpr int kOk = 200;
   constexpr int kMultiple = 300;
@@ -45,7 +45,7 @@
                                  ? "answers_with_limit_total"
                                  : "answers_with_unreadable_limit_total");
   }
-  const Replica* replica = this->replicaOf(aExchange.replica);
+  const Replica* replica = this->replicaById(aExchange.replica);
   const bool tells = field ? aExchange.namedLimit.has_value() : success;
   if (replica == nullptr || !tells ||
       !this->replicaLimits.onAnswer(
@@ -56,7 +56,7 @@
                 aExchange.namedLimit ? "limits" : "limits_no_more" };
   line.with("replica", replica->id);
   if (aExchange.namedLimit) {
-    line.with("limit_milli", milliOf(*aExchange.namedLimit));
+    line.with("limit_milli", toMilliRate(*aExchange.namedLimit));
   }
   this->shared.log.write(line);
   this->broadcastStatus(true);
@@ -71,7 +71,7 @@
 
 /** Deals the limits out to the relays that are heard. */
 void
-RelayLoop::Impl::shareLimits()
+RelayLoop::Impl::updateLimitShares()
 {
   std::vector<RateLimitSharer> heard;
   heard.reserve(this->knownPeers.size());
@@ -100,7 +100,7 @@
 RelayLoop::Impl::onPeerLimits(const PeerStatus& aStatus)
 {
   for (const LimitRow& row : aStatus.limits) {
-    const Replica* replica = this->replicaOf(row.replica);
+    const Replica* replica = this->replicaById(row.replica);
     if (replica != nullptr) {
       this->replicaLimits.onPeer(
         RateLimitReport{ row.replica,
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -41,11 +41,12 @@
 gatePolicy(const RelaySettings& aSettings)
 {
   GatePolicy policy;
-  policy.keyAge = aSettings.strictRevoke
-                    ? std::max(Duration{ 0 }, aSettings.revoke - kRevokeMargin)
-                    : Duration::max();
-  policy.denyAge = aSettings.revoke - kRevokeMargin;
-  policy.configAge = aSettings.configDeadline - kConfigMargin;
+  policy.maxKeyAge =
+    aSettings.strictRevoke
+      ? std::max(Duration{ 0 }, aSettings.revoke - kRevokeMargin)
+      : Duration::max();
+  policy.maxDenyAge = aSettings.revoke - kRevokeMargin;
+  policy.maxConfigAge = aSettings.configDeadline - kConfigMargin;
   return policy;
 }
 
@@ -213,7 +214,7 @@
 RelayLoop::Impl::onTimer(std::uint64_t aKey)
 {
   if (aKey == kWaitingKey) {
-    this->tryWaiting();
+    this->dispatchWaiting();
     return;
   }
   if (const auto exchange = this->exchanges.find(aKey);
@@ -234,8 +235,8 @@
   if (latest == this->view) {
     return;
   }
-  this->noteRestarted(*latest);
-  this->noteDraining(*latest);
+  this->detectRestarts(*latest);
+  this->recordDraining(*latest);
   this->view = latest;
   this->expireDrainReports();
   std::set<std::string> listed;
@@ -291,7 +292,7 @@
                              .with("replica", replica)
                              .with("named", certain ? 1 : 0));
     if (certain) {
-      this->hurryThrough(replica);
+      this->rearmStallTimers(replica);
     }
   }
   if (changed) {
@@ -331,7 +332,7 @@
     }
     return silent;
   });
-  this->shareLimits();
+  this->updateLimitShares();
   this->chooseReaders();
   this->reports.expire(this->now);
   this->expireDrainReports();
@@ -343,7 +344,7 @@
   this->publishBusy();
   this->budgets.setRelays(
     std::max(this->shared.peers.read()->size() + 1, kFewRelays));
-  this->askSlowOnes();
+  this->requestSlowReplicaReports();
   this->moveOffDraining();
   this->broadcastStatus(false);
   this->closeStaleIdle(this->now);
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -57,12 +57,12 @@
 
 /** What the request asks for, the same for each id under which it comes. */
 const Fingerprint&
-contentOf(Exchange& aExchange);
+contentFingerprint(Exchange& aExchange);
 
 /** A rate for the log, which holds whole numbers: thousandths of a request a
  * second. */
 std::int64_t
-milliOf(double aPerSecond);
+toMilliRate(double aPerSecond);
 
 /** What a retry of the request would be for. */
 RetryNeed
@@ -186,7 +186,7 @@
   [[nodiscard]] std::string requestHead(const Exchange& aExchange,
                                         const AttemptTarget& aTarget) const;
   [[nodiscard]] ConfigProof configProof() const;
-  [[nodiscard]] bool fresh(const Exchange& aExchange) const;
+  [[nodiscard]] bool isConfigFresh(const Exchange& aExchange) const;
 
   // RelayExchange.cpp: the course of an admitted request.
   void dispatch(Exchange& aExchange);
@@ -202,31 +202,31 @@
   // RelayWaiting.cpp: requests without a path.
   [[nodiscard]] Waiter waiterOf(const Exchange& aExchange) const;
   Result<AttemptTarget> chooseQueued(Exchange& aExchange);
-  void beginRound();
-  void tryWaiting();
-  bool mayWait(Exchange& aExchange, ErrorKind aReason);
+  void beginDispatchRound();
+  void dispatchWaiting();
+  bool mayKeepWaiting(Exchange& aExchange, ErrorKind aReason);
 
   // RelayAnswer.cpp: what replicas answer.
   void onAnswerHead(Exchange& aExchange, ReplicaConnection& aConnection);
   void onAnswerBody(Exchange& aExchange, ReplicaConnection& aConnection);
-  void noteRepaired(Exchange& aExchange);
+  void recordRepairTime(Exchange& aExchange);
   void onAnswerDone(std::uint64_t aExchange, std::uint64_t aConnection);
-  void onNotRun(Exchange& aExchange, const MessageHead& aHead);
-  void onBroken(Exchange& aExchange,
-                ReplicaFailure aFailure,
-                std::string_view aCause);
-  void passEvents(Exchange& aExchange, const std::string& aBytes, bool aEnd);
-  void passWhole(Exchange& aExchange,
-                 const MessageHead& aHead,
-                 const std::string& aBody);
+  void onNotExecuted(Exchange& aExchange, const MessageHead& aHead);
+  void onAttemptFailed(Exchange& aExchange,
+                       ReplicaFailure aFailure,
+                       std::string_view aCause);
+  void forwardEvents(Exchange& aExchange, const std::string& aBytes, bool aEnd);
+  void forwardWholeAnswer(Exchange& aExchange,
+                          const MessageHead& aHead,
+                          const std::string& aBody);
   [[nodiscard]] std::string answerHead(const Exchange& aExchange,
                                        const MessageHead& aHead,
                                        std::string_view aFraming) const;
 
   // RelayLimits.cpp: replicas that limit what they take.
-  void noteLimit(Exchange& aExchange, const MessageHead& aHead);
+  void recordRateLimit(Exchange& aExchange, const MessageHead& aHead);
   [[nodiscard]] bool takesRequests(const std::string& aReplica);
-  void shareLimits();
+  void updateLimitShares();
   void addLimits(PeerStatus& aStatus) const;
   void onPeerLimits(const PeerStatus& aStatus);
 
@@ -242,58 +242,58 @@
   [[nodiscard]] std::vector<PathCandidate> candidatesFor(
     const Exchange& aExchange,
     bool aSlowToo);
-  [[nodiscard]] const Replica* replicaAt(const Address& aAddress) const;
-  [[nodiscard]] const Replica* replicaOf(const std::string& aId) const;
-  [[nodiscard]] TokenNeed needOf(const Exchange& aExchange) const;
+  [[nodiscard]] const Replica* replicaByAddress(const Address& aAddress) const;
+  [[nodiscard]] const Replica* replicaById(const std::string& aId) const;
+  [[nodiscard]] TokenNeed estimateTokenNeed(const Exchange& aExchange) const;
   [[nodiscard]] Result<LayerPath> findPathFor(const Exchange& aExchange,
                                               PathDemand aDemand);
-  void payCrossings(const Exchange& aExchange, const LayerPath& aPath);
+  void reserveLinkCapacity(const Exchange& aExchange, const LayerPath& aPath);
   void addLoad(Exchange& aExchange);
   void removeLoad(Exchange& aExchange);
   void endPrefill(Exchange& aExchange);
 
   // RelayStall.cpp: work that stands still.
   [[nodiscard]] Duration stallTimeoutOf(const Exchange& aExchange) const;
-  void onOverdue(Exchange& aExchange);
-  void ask(const PathPart& aPart, Duration aPause);
-  void askRestOfPaths(const std::string& aFirst);
-  void askSlowOnes();
+  void onStallTimeout(Exchange& aExchange);
+  void requestReport(const PathPart& aPart, Duration aPause);
+  void requestPathReports(const std::string& aFirst);
+  void requestSlowReplicaReports();
   void onReport(const std::string& aReplica, const ReplicaReport& aReport);
-  [[nodiscard]] bool throughLost(const Exchange& aExchange) const;
-  void hurryThrough(const std::string& aReplica);
-  [[nodiscard]] bool movesAt(const std::string& aReplica) const;
+  [[nodiscard]] bool usesLostReplica(const Exchange& aExchange) const;
+  void rearmStallTimers(const std::string& aReplica);
+  [[nodiscard]] bool hasRecentProgress(const std::string& aReplica) const;
 
   // RelayRepair.cpp: moving requests off what was lost.
   void onFaultyReplica(const std::string& aReplica);
   [[nodiscard]] std::vector<std::uint64_t> requestsThrough(
     const std::string& aReplica) const;
   void repair(Exchange& aExchange, bool aPlanned);
-  void leaveFirst(Exchange& aExchange);
+  void moveOffDrainingFirst(Exchange& aExchange);
   void onRepath(const RepathOrder& aOrder, RepathOutcome aOutcome);
 
   // RelayDraining.cpp: replicas that leave.
-  void noteDraining(const ReplicaView& aLatest);
-  void noteRestarted(const ReplicaView& aLatest);
+  void recordDraining(const ReplicaView& aLatest);
+  void detectRestarts(const ReplicaView& aLatest);
   void endIncarnation(const std::string& aReplica);
   [[nodiscard]] std::set<std::string> drainingReplicas() const;
   void onPeerDraining(const PeerStatus& aStatus);
   void expireDrainReports();
-  [[nodiscard]] bool leaves(const Replica& aReplica) const;
+  [[nodiscard]] bool isDraining(const Replica& aReplica) const;
   void moveOffDraining();
   [[nodiscard]] bool usesDrainingReplica(const Exchange& aExchange) const;
 
   // RelayCrashes.cpp: requests under which replicas end.
-  void watchCrash(Exchange& aExchange, ConnectionEnd aEnd);
-  [[nodiscard]] bool hasEnded(const std::string& aReplica) const;
+  void recordPossibleCrash(Exchange& aExchange, ConnectionEnd aEnd);
+  [[nodiscard]] bool hasExited(const std::string& aReplica) const;
   void confirmCrashes();
-  void onQuarantine(const Fingerprint& aRequest, bool aOwn);
+  void beginQuarantine(const Fingerprint& aRequest, bool aOwn);
   void stopQuarantined(const Fingerprint& aRequest);
   [[nodiscard]] std::size_t trialRank(const Fingerprint& aRequest) const;
   [[nodiscard]] std::optional<Duration> quarantineLeft(
     Exchange& aExchange) const;
   void refuseQuarantined(Exchange& aExchange);
-  void noteServed(Exchange& aExchange);
-  void onReleased(const Fingerprint& aRequest);
+  void recordServed(Exchange& aExchange);
+  void endQuarantine(const Fingerprint& aRequest);
   void publishQuarantine();
   void refreshQuarantine();
   void addCrashes(PeerStatus& aStatus) const;
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -253,7 +253,7 @@
                                 const PeerEcho& aEcho)
 {
   if (aStatus.configAge >= 0 &&
-      Duration{ aStatus.configAge } <= this->gate.keyAge) {
+      Duration{ aStatus.configAge } <= this->gate.maxKeyAge) {
     this->peerFreshAt = this->now;
   }
   const auto config = this->shared.config.read();
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -52,8 +52,9 @@
 {
   if (aExchange.path.parts.empty()) {
     // A plain replica that has started again: nothing of it is left there.
-    this->watchCrash(aExchange, ConnectionEnd::Silent);
-    this->onBroken(aExchange, ReplicaFailure::Refused, "replica restarted");
+    this->recordPossibleCrash(aExchange, ConnectionEnd::Silent);
+    this->onAttemptFailed(
+      aExchange, ReplicaFailure::Refused, "replica restarted");
     return;
   }
   const PathPart first = aExchange.path.parts.front();
@@ -61,12 +62,12 @@
   const bool firstLives = !this->health.dead(first.replica, this->now) &&
                           !this->isLost(first.replica);
   if (this->drainingSince.contains(first.replica)) {
-    this->leaveFirst(aExchange);
+    this->moveOffDrainingFirst(aExchange);
     return;
   }
   if (!firstLives) {
-    this->watchCrash(aExchange, ConnectionEnd::Silent);
-    this->onBroken(
+    this->recordPossibleCrash(aExchange, ConnectionEnd::Silent);
+    this->onAttemptFailed(
       aExchange, ReplicaFailure::Unreachable, "first replica lost");
     return;
   }
@@ -89,7 +90,7 @@
   if (crosses && mayResume && resumes &&
       this->budgetOf(aExchange).open(need, this->now) &&
       this->choosePath(aExchange, {}).ok()) {
-    this->onBroken(aExchange, ReplicaFailure::Refused, "part lost");
+    this->onAttemptFailed(aExchange, ReplicaFailure::Refused, "part lost");
     return;
   }
   if (!target) {
@@ -107,7 +108,7 @@
   };
   aExchange.path = order.after;
   this->addLoad(aExchange);
-  this->payCrossings(aExchange, order.after);
+  this->reserveLinkCapacity(aExchange, order.after);
   this->calls.repath(
     first.address,
     aExchange.requestId,
@@ -124,7 +125,7 @@
  * replica had work to do and time to do it.
  */
 void
-RelayLoop::Impl::leaveFirst(Exchange& aExchange)
+RelayLoop::Impl::moveOffDrainingFirst(Exchange& aExchange)
 {
   const bool mayMove = aExchange.route->resumable &&
                        aExchange.runs + 1 < aExchange.route->attempts;
@@ -136,7 +137,7 @@
     return;
   }
   if (this->choosePath(aExchange, {}).ok()) {
-    this->onBroken(aExchange, ReplicaFailure::Refused, "replica leaves");
+    this->onAttemptFailed(aExchange, ReplicaFailure::Refused, "replica leaves");
   }
 }
 
@@ -173,7 +174,7 @@
   }
   // The work stands still until the replica gives it up, after seconds: it goes
   // on after its last event at another first replica now.
-  this->onBroken(exchange, ReplicaFailure::Refused, "not moved");
+  this->onAttemptFailed(exchange, ReplicaFailure::Refused, "not moved");
 }
 
 } // namespace poplartrack
--- a/src/relay/RelayReplicas.cpp
+++ b/src/relay/RelayReplicas.cpp
@@ -155,7 +155,8 @@
 {
   const auto exchange = this->exchanges.find(aConnection.exchange);
   if (!aConnection.anySent && !aConnection.out.empty() &&
-      exchange != this->exchanges.end() && !this->fresh(*exchange->second)) {
+      exchange != this->exchanges.end() &&
+      !this->isConfigFresh(*exchange->second)) {
     // The process may have been suspended since the gate let the request
     // through; its key may be gone by now. Not a byte of it has left.
     Exchange& stale = *exchange->second;
@@ -329,8 +330,8 @@
   }
   const bool connecting =
     connection.state == ReplicaConnection::State::Connecting;
-  this->watchCrash(*exchange->second, aEnd);
-  this->onBroken(
+  this->recordPossibleCrash(*exchange->second, aEnd);
+  this->onAttemptFailed(
     *exchange->second, failureOf(connecting, connection.headSeen), aCause);
 }
 
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -49,7 +49,7 @@
   const Duration expected = begun ? aExchange.path.perToken * kTokensPerEvent
                                   : aExchange.path.firstToken +
                                       aExchange.path.perToken * kTokensPerEvent;
-  if (this->throughLost(aExchange)) {
+  if (this->usesLostReplica(aExchange)) {
     return aExchange.asking ? kMoveAgain
                             : std::clamp(expected * kOverdueThroughLost,
                                          kLeastThroughLost,
@@ -63,7 +63,7 @@
 
 /** Whether the path leads through a replica that is certainly lost. */
 bool
-RelayLoop::Impl::throughLost(const Exchange& aExchange) const
+RelayLoop::Impl::usesLostReplica(const Exchange& aExchange) const
 {
   const auto lost = this->shared.lost.read();
   const auto& parts = aExchange.path.parts;
@@ -79,7 +79,7 @@
  * soon as they are late. Those that still move are left alone: the loss may be
  * one between that replica and others. */
 void
-RelayLoop::Impl::hurryThrough(const std::string& aReplica)
+RelayLoop::Impl::rearmStallTimers(const std::string& aReplica)
 {
   for (const std::uint64_t id : this->requestsThrough(aReplica)) {
     this->armExchange(*this->exchanges.at(id));
@@ -89,15 +89,15 @@
 /** Nothing has come for too long: the stream is moved when the cause is known,
  * else it is asked for. */
 void
-RelayLoop::Impl::onOverdue(Exchange& aExchange)
+RelayLoop::Impl::onStallTimeout(Exchange& aExchange)
 {
   const std::uint64_t id = aExchange.id;
   aExchange.asking = true;
   aExchange.askedAt = this->now;
-  if (this->throughLost(aExchange)) {
+  if (this->usesLostReplica(aExchange)) {
     this->repair(aExchange, false);
   } else {
-    this->ask(aExchange.path.parts.front(), kAskPause);
+    this->requestReport(aExchange.path.parts.front(), kAskPause);
   }
   const auto still = this->exchanges.find(id);
   if (still != this->exchanges.end() && still->second->connection != 0) {
@@ -107,7 +107,7 @@
 
 /** Asks a replica how it does, unless it was asked lately. */
 void
-RelayLoop::Impl::ask(const PathPart& aPart, Duration aPause)
+RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aPause)
 {
   const auto asked = this->askedAt.find(aPart.replica);
   if (asked != this->askedAt.end() && this->now - asked->second < aPause) {
@@ -126,7 +126,7 @@
 /** Streams that begin at this replica are late and nothing has stalled: one of
  * their other replicas may be slow, which only it can tell. */
 void
-RelayLoop::Impl::askRestOfPaths(const std::string& aFirst)
+RelayLoop::Impl::requestPathReports(const std::string& aFirst)
 {
   for (const auto& [id, exchange] : this->exchanges) {
     const auto& parts = exchange->path.parts;
@@ -134,7 +134,7 @@
       continue;
     }
     for (const PathPart& part : parts) {
-      this->ask(part, kAskAllPause);
+      this->requestReport(part, kAskAllPause);
     }
     return;
   }
@@ -142,11 +142,12 @@
 
 /** Those that were slow are asked again, to notice when they are not. */
 void
-RelayLoop::Impl::askSlowOnes()
+RelayLoop::Impl::requestSlowReplicaReports()
 {
   for (const Replica& replica : this->view->replicas) {
     if (this->health.slowdown(replica.id) > kSlow) {
-      this->ask(PathPart{ replica.id, replica.address, {} }, kAskAllPause);
+      this->requestReport(PathPart{ replica.id, replica.address, {} },
+                          kAskAllPause);
     }
   }
 }
@@ -155,7 +156,7 @@
 RelayLoop::Impl::onReport(const std::string& aReplica,
                           const ReplicaReport& aReport)
 {
-  if (!aReport.reached && this->movesAt(aReplica)) {
+  if (!aReport.reached && this->hasRecentProgress(aReplica)) {
     // Too busy to answer in time, but its streams move: taking it for dead
     // used up the attempts of all of them.
     this->health.onPace(aReplica, kDegradedSlowdown);
@@ -167,7 +168,7 @@
     this->onFaultyReplica(aReplica);
     return;
   }
-  const Replica* listed = this->replicaOf(aReplica);
+  const Replica* listed = this->replicaById(aReplica);
   if (listed != nullptr && listed->startedAtMs != 0 &&
       aReport.startedAtMs != 0 && listed->startedAtMs != aReport.startedAtMs) {
     // It has started again, and the list does not tell yet.
@@ -178,12 +179,12 @@
   // take the pipes between zones for longer than the slow part costs them.
   this->health.onPace(aReplica, aReport.pace);
   if (aReport.stalled.empty()) {
-    this->askRestOfPaths(aReplica);
+    this->requestPathReports(aReplica);
     return;
   }
   std::set<std::string> blockedOn;
   for (const StalledWork& work : aReport.stalled) {
-    if (const Replica* replica = this->replicaAt(work.blockedOn)) {
+    if (const Replica* replica = this->replicaByAddress(work.blockedOn)) {
       blockedOn.insert(replica->id);
     }
   }
@@ -196,7 +197,7 @@
 /** Whether a stream that begins at this replica has moved since it was asked.
  */
 bool
-RelayLoop::Impl::movesAt(const std::string& aReplica) const
+RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
   const auto asked = this->askedAt.find(aReplica);
   return asked != this->askedAt.end() &&
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -45,7 +45,7 @@
     return this->choose(aExchange);
   }
   if (this->now - this->roundAt >= kWaitPause) {
-    this->beginRound();
+    this->beginDispatchRound();
   }
   const Waiter waiter = this->waiterOf(aExchange);
   if (!this->waiting.worthTrying(waiter)) {
@@ -61,7 +61,7 @@
 }
 
 void
-RelayLoop::Impl::beginRound()
+RelayLoop::Impl::beginDispatchRound()
 {
   this->waiting.beginRound();
   this->roundAt = this->now;
@@ -69,9 +69,9 @@
 
 /** Tries those again that wait for memory. */
 void
-RelayLoop::Impl::tryWaiting()
+RelayLoop::Impl::dispatchWaiting()
 {
-  this->beginRound();
+  this->beginDispatchRound();
   for (const std::uint64_t id : this->waiting.order(this->now)) {
     const auto found = this->exchanges.find(id);
     if (found != this->exchanges.end()) {
@@ -85,7 +85,7 @@
 
 /** Whether a request without a path waits for one, a little longer. */
 bool
-RelayLoop::Impl::mayWait(Exchange& aExchange, ErrorKind aReason)
+RelayLoop::Impl::mayKeepWaiting(Exchange& aExchange, ErrorKind aReason)
 {
   // The caller of a started stream has part of it. One that has nothing yet
   // waits for memory that other answers free.
--- a/src/relay/RequestGate.cpp
+++ b/src/relay/RequestGate.cpp
@@ -22,8 +22,8 @@
 bool
 isUsable(const ConfigProof& aProof, const GatePolicy& aPolicy, bool aKeyed)
 {
-  const bool trusted = aProof.storeFails || aProof.age <= aPolicy.configAge;
-  return trusted && (!aKeyed || aProof.age <= aPolicy.keyAge);
+  const bool trusted = aProof.storeFails || aProof.age <= aPolicy.maxConfigAge;
+  return trusted && (!aKeyed || aProof.age <= aPolicy.maxKeyAge);
 }
 
 std::variant<Admitted, Error>
@@ -39,7 +39,7 @@
   // may miss a route or a key that was added, and the caller would not ask
   // again after a 404 or 401.
   const bool certain =
-    aProof.age <= aPolicy.denyAge && isUsable(aProof, aPolicy, false);
+    aProof.age <= aPolicy.maxDenyAge && isUsable(aProof, aPolicy, false);
   const auto deny = [certain](ErrorKind aKind, const char* aWhy) {
     return certain ? Error{ aKind, aWhy }
                    : Error{ ErrorKind::NoConfiguration, aWhy };
--- a/src/relay/RetryAdvice.cpp
+++ b/src/relay/RetryAdvice.cpp
@@ -51,13 +51,13 @@
 retryAdvice(const RefusalState& aState)
 {
   if (aState.kind == ErrorKind::Quarantined) {
-    return aState.lasts;
+    return aState.quarantineLeft;
   }
   const Window window = windowOf(aState);
   const Duration most = aState.timeLeft / kPartOfTime;
   // A caller with little time gets the same spread in less of it.
   const Duration whole = window.least + window.spread;
-  const auto part = static_cast<double>(aState.spread % 1'000) / 1'000;
+  const auto part = static_cast<double>(aState.jitterSeed % 1'000) / 1'000;
   const auto asked = window.least + Duration{
     static_cast<std::int64_t>(part * static_cast<double>(window.spread.count()))
   };
--- a/src/relay/RetryAdvice.h
+++ b/src/relay/RetryAdvice.h
@@ -16,9 +16,9 @@
   /** Until the caller's deadline or the route's timeout. */
   Duration timeLeft{ 0 };
   /** Spreads callers that were refused together; the same for one request. */
-  std::uint64_t spread = 0;
+  std::uint64_t jitterSeed = 0;
   /** How long what it is refused for is known to last; 0: not known. */
-  Duration lasts{ 0 };
+  Duration quarantineLeft{ 0 };
 };
 
 /**
--- a/tests/unit/relay/RetryAdviceTest.cpp
+++ b/tests/unit/relay/RetryAdviceTest.cpp
@@ -81,7 +81,7 @@
   RefusalState state;
   state.kind = ErrorKind::Quarantined;
   state.timeLeft = seconds{ 20 };
-  state.lasts = seconds{ 1'800 };
+  state.quarantineLeft = seconds{ 1'800 };
   EXPECT_EQ(retryAdvice(state), seconds{ 1'800 });
 }
 
