--- a/include/poplartrack/relay/RequestGate.h
+++ b/include/poplartrack/relay/RequestGate.h
@@ -11,68 +11,74 @@
 
 namespace poplartrack {
 
-/** What the gate needs to know of a request. */
+/** The parts of a request that decide on its admission. */
 struct GateRequest
 {
   std::string_view host;
-  /** Path with its query. */
+  /** Path with query string. */
   std::string_view target;
   std::string apiKey;
+  /** The time that the caller gives for the answer; empty: not given. */
   std::optional<Duration> deadline;
 };
 
-/** A request that may be forwarded. */
+/** A request that may be forwarded, with the configuration that applies. */
 struct Admitted
 {
   const RelayRoute* route = nullptr;
-  /** Null on an open route that came without a known key. */
+  /** Null when the route is open and the request has no known key. */
   const RelayAccount* account = nullptr;
-  /** Whether it may be sent only while the configuration is known to be
-   * fresh. */
-  bool keyed = false;
-  /** How long the caller is kept waiting at most. */
-  Duration patience{ 0 };
+  /** The route accepts only requests with a key. Such a request is sent only
+   * while the configuration is at most GatePolicy::maxKeyAge old, since its key
+   * may have been revoked. */
+  bool requiresKey = false;
+  /** The caller's deadline or the route's timeout, whichever is shorter. */
+  Duration timeout{ 0 };
 };
 
-/** How far the configuration that a relay has can be trusted. */
+/** How recently a relay proved that its configuration is the newest. */
 struct ConfigProof
 {
-  /** How long ago it was known to be the newest. */
+  /** Time since the configuration was last proved to be the newest. */
   Duration age{ 0 };
-  /** The store did not answer the latest look at it. */
+  /** The latest poll of the store failed. */
   bool storeFails = false;
 };
 
-/** Bounds on the age of the configuration. */
+/** Bounds on the age of the freshness proof; see ConfigProof::age. */
 struct GatePolicy
 {
-  /** While nothing says that the store is away, a configuration that was known
-   * to be the newest longer ago is not used: a look at it hangs, and a newer
-   * one may have been in force for that long. */
+  /** An older configuration is not used unless the latest poll of the store
+   * failed. Without a failure the poll hangs, and a newer configuration may
+   * have been in force for that long. */
   Duration maxConfigAge = std::chrono::milliseconds{ 1'700 };
-  /** A request with a key is sent only while the configuration was known to
-   * be the newest this long ago. */
+  /** A request that requires a key is sent only while the configuration is at
+   * most this old. */
   Duration maxKeyAge = std::chrono::milliseconds{ 3'800 };
-  /** Up to this age "no such route" and "no such key" are certain enough to
-   * say. */
+  /** An unknown route or key is answered with 404 or 401 only while the
+   * configuration is at most this old. */
   Duration maxDenyAge = std::chrono::milliseconds{ 3'800 };
 };
 
 /**
- * Whether a request may be sent under the configuration that its relay has.
+ * Returns whether a request may be sent under the relay's configuration.
  *
- * A relay whose look at the store failed is cut off, or the store is away, and
- * serves on for as long as a key that was taken away may work. One whose look
- * hangs without an error believes itself in touch, and the deadline for a new
- * configuration binds it: its connection had fallen silent, and 3.3 s after the
- * operator's acknowledgement, bound 3 s, it sent a request with a key that the
- * others had long refused.
+ * When the latest poll of the store failed, the relay is cut off or the store
+ * is unavailable. The relay then continues to serve for as long as a revoked
+ * key may work (maxKeyAge). When a poll hangs without an error, the relay takes
+ * itself for connected, and the shorter deadline for a new configuration
+ * applies (maxConfigAge). Without this bound, a relay whose connection had
+ * fallen silent sent a request with a revoked key 3.3 s after the revocation
+ * was acknowledged to the operator, where the bound is 3 s.
  */
 [[nodiscard]] bool
-isUsable(const ConfigProof& aProof, const GatePolicy& aPolicy, bool aKeyed);
+isUsable(const ConfigProof& aProof,
+         const GatePolicy& aPolicy,
+         bool aRequiresKey);
 
 /**
- * Whether a request may be forwarded under a configuration of a certain age.
+ * Decides whether a request may be forwarded. Without a configuration (aConfig
+ * is null), or with one too old to decide by, the error is NoConfiguration.
  * Pure. Errors: NoConfiguration, NotFound (no route), Unauthorized.
  */
 std::variant<Admitted, Error>
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -139,8 +139,8 @@
   const Admitted& admitted = std::get<Admitted>(verdict);
   aExchange.route = admitted.route;
   aExchange.account = admitted.account;
-  aExchange.keyed = admitted.keyed;
-  aExchange.giveUpAt = aExchange.arrived + admitted.patience;
+  aExchange.keyed = admitted.requiresKey;
+  aExchange.giveUpAt = aExchange.arrived + admitted.timeout;
   aExchange.service = this->pickService(aExchange);
   this->budgetOf(aExchange).onRequest(this->now);
   aExchange.need = this->estimateTokenNeed(aExchange);
--- a/src/relay/RequestGate.cpp
+++ b/src/relay/RequestGate.cpp
@@ -5,6 +5,7 @@
 namespace poplartrack {
 namespace {
 
+/** Returns the host in lower case, without its port. */
 std::string
 hostName(std::string_view aHost)
 {
@@ -20,10 +21,12 @@
 } // namespace
 
 bool
-isUsable(const ConfigProof& aProof, const GatePolicy& aPolicy, bool aKeyed)
+isUsable(const ConfigProof& aProof,
+         const GatePolicy& aPolicy,
+         bool aRequiresKey)
 {
   const bool trusted = aProof.storeFails || aProof.age <= aPolicy.maxConfigAge;
-  return trusted && (!aKeyed || aProof.age <= aPolicy.maxKeyAge);
+  return trusted && (!aRequiresKey || aProof.age <= aPolicy.maxKeyAge);
 }
 
 std::variant<Admitted, Error>
@@ -35,14 +38,13 @@
   if (aConfig == nullptr) {
     return Error{ ErrorKind::NoConfiguration, "none was read yet" };
   }
-  // "No" is said only by one who knows: a relay that is cut off from the store
-  // may miss a route or a key that was added, and the caller would not ask
-  // again after a 404 or 401.
+  // A relay that is cut off from the store may miss a route or a key that was
+  // added. It doesn't answer 404 or 401 then, since callers don't retry these.
   const bool certain =
     aProof.age <= aPolicy.maxDenyAge && isUsable(aProof, aPolicy, false);
-  const auto deny = [certain](ErrorKind aKind, const char* aWhy) {
-    return certain ? Error{ aKind, aWhy }
-                   : Error{ ErrorKind::NoConfiguration, aWhy };
+  const auto deny = [certain](ErrorKind aKind, const char* aDetail) {
+    return certain ? Error{ aKind, aDetail }
+                   : Error{ ErrorKind::NoConfiguration, aDetail };
   };
   const std::string_view path =
     aRequest.target.substr(0, aRequest.target.find('?'));
@@ -53,17 +55,17 @@
   Admitted admitted;
   admitted.route = route;
   admitted.account = aConfig->accountFor(aRequest.apiKey);
-  admitted.keyed = !route->open && !aConfig->keys.empty();
-  if (admitted.keyed && admitted.account == nullptr) {
+  admitted.requiresKey = !route->open && !aConfig->keys.empty();
+  if (admitted.requiresKey && admitted.account == nullptr) {
     return deny(ErrorKind::Unauthorized, "no account has this key");
   }
-  if (!isUsable(aProof, aPolicy, admitted.keyed)) {
+  if (!isUsable(aProof, aPolicy, admitted.requiresKey)) {
     return Error{ ErrorKind::NoConfiguration,
                   "it cannot be told whether route and key still hold" };
   }
-  admitted.patience = aRequest.deadline
-                        ? std::min(*aRequest.deadline, route->timeout)
-                        : route->timeout;
+  admitted.timeout = aRequest.deadline
+                       ? std::min(*aRequest.deadline, route->timeout)
+                       : route->timeout;
   return admitted;
 }
 
--- a/tests/unit/relay/RequestGateTest.cpp
+++ b/tests/unit/relay/RequestGateTest.cpp
@@ -34,11 +34,11 @@
     this->config.sortRoutes();
   }
 
-  std::variant<Admitted, Error> ask(std::string_view aTarget,
-                                    const std::string& aKey,
-                                    Duration aAge = milliseconds{ 100 })
+  std::variant<Admitted, Error> decide(std::string_view aTarget,
+                                       const std::string& aKey,
+                                       Duration aAge = milliseconds{ 100 })
   {
-    // The store does not answer: the relay serves on by what it has.
+    // The latest poll of the store failed.
     return admitRequest(&this->config,
                         ConfigProof{ aAge, true },
                         GatePolicy{},
@@ -53,43 +53,45 @@
   RelayConfig config;
 };
 
-TEST_F(RequestGateTest, TheLongestPrefixWinsWhateverTheQuery)
+TEST_F(RequestGateTest, TheLongestPrefixWinsRegardlessOfTheQuery)
 {
-  const auto verdict = this->ask("/a/b/c?x=/a/", "secret");
+  const auto verdict = this->decide("/a/b/c?x=/a/", "secret");
   ASSERT_TRUE(std::holds_alternative<Admitted>(verdict));
   EXPECT_EQ(std::get<Admitted>(verdict).route->name, "long");
   EXPECT_EQ(std::get<Admitted>(verdict).account->name, "shop");
 }
 
-TEST_F(RequestGateTest, OpenRoutesNeedNoKeyAndNoFreshConfiguration)
+TEST_F(RequestGateTest, OpenRoutesNeedNeitherKeyNorFreshConfiguration)
 {
-  EXPECT_TRUE(
-    std::holds_alternative<Admitted>(this->ask("/open/x", "", seconds{ 60 })));
+  EXPECT_TRUE(std::holds_alternative<Admitted>(
+    this->decide("/open/x", "", seconds{ 60 })));
 }
 
-TEST_F(RequestGateTest, KeyedRoutesNeedAFreshConfiguration)
+TEST_F(RequestGateTest, RoutesThatRequireAKeyNeedAFreshConfiguration)
 {
-  EXPECT_EQ(this->errorOf(this->ask("/a/x", "secret", seconds{ 5 })),
+  EXPECT_EQ(this->errorOf(this->decide("/a/x", "secret", seconds{ 5 })),
             ErrorKind::NoConfiguration);
 }
 
-TEST_F(RequestGateTest, DeniesOnlyWhileItIsCertain)
+TEST_F(RequestGateTest, DeniesOnlyUnderAFreshConfiguration)
 {
-  EXPECT_EQ(this->errorOf(this->ask("/none/", "secret")), ErrorKind::NotFound);
-  EXPECT_EQ(this->errorOf(this->ask("/a/", "wrong")), ErrorKind::Unauthorized);
-  EXPECT_EQ(this->errorOf(this->ask("/none/", "secret", seconds{ 9 })),
+  EXPECT_EQ(this->errorOf(this->decide("/none/", "secret")),
+            ErrorKind::NotFound);
+  EXPECT_EQ(this->errorOf(this->decide("/a/", "wrong")),
+            ErrorKind::Unauthorized);
+  EXPECT_EQ(this->errorOf(this->decide("/none/", "secret", seconds{ 9 })),
             ErrorKind::NoConfiguration);
-  EXPECT_EQ(this->errorOf(this->ask("/a/", "wrong", seconds{ 9 })),
+  EXPECT_EQ(this->errorOf(this->decide("/a/", "wrong", seconds{ 9 })),
             ErrorKind::NoConfiguration);
 }
 
-TEST_F(RequestGateTest, AHangingLookIsNoLeaveToUseAnOldConfiguration)
+TEST_F(RequestGateTest, AHangingPollDoesNotExtendTheUseOfAnOldConfiguration)
 {
-  // A relay's connection to the store falls silent, and its look hangs without
-  // an error. Meanwhile the operator takes a key away; all others know. A
-  // request with the key comes 2.5 s later: the bound on configurations, 2 s,
-  // binds a relay that is in touch for all it knows. With an error of the store
-  // the longer bound on keys holds.
+  // A relay's connection to the store falls silent, and its poll hangs without
+  // an error while the operator revokes a key. A request with this key that
+  // comes 2.5 s later must be rejected, since a new configuration has to be in
+  // force within 2 s. When the poll fails instead, the longer bound on revoked
+  // keys applies.
   const ConfigProof hangs{ milliseconds{ 2'500 }, false };
   const ConfigProof fails{ milliseconds{ 2'500 }, true };
   for (const char* target : { "/a/x", "/open/x" }) {
@@ -102,14 +104,14 @@
   }
 }
 
-TEST_F(RequestGateTest, TheCallersDeadlineBoundsItsPatience)
+TEST_F(RequestGateTest, TheCallersDeadlineBoundsTheTimeout)
 {
   const auto verdict =
     admitRequest(&this->config,
                  ConfigProof{ milliseconds{ 1 }, false },
                  GatePolicy{},
                  { "shop.example", "/a/", "secret", seconds{ 3 } });
-  EXPECT_EQ(std::get<Admitted>(verdict).patience, seconds{ 3 });
+  EXPECT_EQ(std::get<Admitted>(verdict).timeout, seconds{ 3 });
 }
 
 } // namespace
