--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -1,5 +1,5 @@
-// The way of a request in: what it says, whether it is served at all, and what
-// of it goes on to a replica.
+// Admission of a request: parsing its headers, deciding whether it is served,
+// and building the head that is sent to a replica.
 
 #include <algorithm>
 #include <array>
@@ -10,18 +10,18 @@
 namespace poplartrack {
 namespace {
 
-/** What is taken for the time of a caller that names none, until its route is
- * known: it bounds only when a refused one is told to come back. */
-constexpr Duration kUsualPatience = std::chrono::seconds{ 10 };
+/** Assumed deadline of a request that gives none, until its route is known. It
+ * only limits the Retry-After of a request that is rejected before that. */
+constexpr Duration kDefaultDeadline = std::chrono::seconds{ 10 };
 
-/** A relay that has just started lets requests wait this long for the
- * configuration and the list of replicas; reading both takes 0.2 s on the
- * smallest instance. Callers give a request up that is not read after a second.
- */
-constexpr Duration kStartPatience = std::chrono::milliseconds{ 700 };
+/** Maximum wait of a request for the configuration and the replica list of a
+ * relay that has just started. Reading both takes 0.2 s on the smallest
+ * instance. Callers give up a request that has not been read after 1 s. */
+constexpr Duration kMaxStartupWait = std::chrono::milliseconds{ 700 };
 
+/** Parses a non-negative integer at the start of a header value. */
 std::optional<std::int64_t>
-numberIn(std::optional<std::string_view> aText)
+parseCount(std::optional<std::string_view> aText)
 {
   if (!aText) {
     return std::nullopt;
@@ -41,10 +41,10 @@
 urgencyOf(const Exchange& aExchange)
 {
   constexpr int kLeastUrgent = 9;
-  const bool own =
+  const bool hasOwn =
     aExchange.account != nullptr && aExchange.account->priority.has_value();
   const int urgency =
-    own ? *aExchange.account->priority : aExchange.route->priority;
+    hasOwn ? *aExchange.account->priority : aExchange.route->priority;
   return std::clamp(urgency, 0, kLeastUrgent);
 }
 
@@ -52,9 +52,9 @@
 contentFingerprint(Exchange& aExchange)
 {
   if (!aExchange.content) {
-    const bool known = aExchange.account != nullptr;
+    const bool hasAccount = aExchange.account != nullptr;
     aExchange.content =
-      fingerprintOf({ known ? aExchange.account->name : std::string_view{},
+      fingerprintOf({ hasAccount ? aExchange.account->name : std::string_view{},
                       aExchange.head.headers.find("host").value_or(""),
                       aExchange.head.method,
                       aExchange.head.target,
@@ -63,6 +63,7 @@
   return *aExchange.content;
 }
 
+/** Starts the exchange of a request that was read to its end, and admits it. */
 void
 RelayLoop::Impl::beginExchange(CallerConnection& aCaller, MessageHead aHead)
 {
@@ -77,10 +78,10 @@
   const HeaderList& headers = exchange.head.headers;
   exchange.requestId =
     std::string{ headers.find(this->names.requestId).value_or("") };
-  if (const auto deadline = numberIn(headers.find(this->names.deadline))) {
+  if (const auto deadline = parseCount(headers.find(this->names.deadline))) {
     exchange.deadline = std::chrono::milliseconds{ *deadline };
   }
-  exchange.giveUpAt = this->now + exchange.deadline.value_or(kUsualPatience);
+  exchange.giveUpAt = this->now + exchange.deadline.value_or(kDefaultDeadline);
   aCaller.exchange = exchange.id;
   aCaller.closeWhenAnswered = !aCaller.parser->keep_alive();
   this->exchanges.emplace(exchange.id, std::move(owned));
@@ -89,20 +90,24 @@
   this->admit(exchange);
 }
 
-/** Whether a request that came right after the start waits for what the relay
- * needs to know. Refused, it would have spent its caller's one return: after
- * all relays died, callers come back to relays that have just started. */
+/**
+ * Returns whether a request waits because the relay has just started and lacks
+ * the configuration or the replica list. After all relays crashed, callers
+ * retry at relays that have just started, and rejecting them would use up their
+ * only retry.
+ */
 bool
 RelayLoop::Impl::waitsForStart(const Exchange& aExchange)
 {
   this->refreshReplicas();
-  const bool knows =
+  const bool isReady =
     this->shared.config.read() != nullptr && !this->view->replicas.empty();
-  return !knows && this->now - this->startedAt < kStartPatience &&
-         this->now - aExchange.arrived < kStartPatience;
+  return !isReady && this->now - this->startedAt < kMaxStartupWait &&
+         this->now - aExchange.arrived < kMaxStartupWait;
 }
 
-/** Decides whether the request is served, and starts its first attempt. */
+/** Rejects the request, or starts its first attempt. Called again after
+ * kWaitPause while the request waits for the relay's start. */
 void
 RelayLoop::Impl::admit(Exchange& aExchange)
 {
@@ -112,11 +117,11 @@
   }
   const HeaderList& headers = aExchange.head.headers;
   aExchange.config = this->shared.config.read();
-  const bool proper =
+  const bool wellFormed =
     aExchange.head.version == 11 && headers.count("host") == 1 &&
     !aExchange.requestId.empty() && headers.count(this->names.requestId) == 1 &&
     aExchange.head.target.starts_with('/');
-  if (!proper) {
+  if (!wellFormed) {
     this->refuse(
       aExchange, Error{ ErrorKind::BadRequest, "host, id or path" }, true);
     return;
@@ -125,18 +130,19 @@
     this->refuse(aExchange, Error{ ErrorKind::Draining, "stopping" }, true);
     return;
   }
-  const GateRequest asked{ *headers.find("host"),
-                           aExchange.head.target,
-                           std::string{
-                             headers.find(this->names.apiKey).value_or("") },
-                           aExchange.deadline };
-  const auto verdict = admitRequest(
-    aExchange.config.get(), this->configProof(), this->gate, asked);
-  if (const Error* error = std::get_if<Error>(&verdict)) {
+  const GateRequest gateRequest{
+    *headers.find("host"),
+    aExchange.head.target,
+    std::string{ headers.find(this->names.apiKey).value_or("") },
+    aExchange.deadline
+  };
+  const auto decision = admitRequest(
+    aExchange.config.get(), this->configProof(), this->gate, gateRequest);
+  if (const Error* error = std::get_if<Error>(&decision)) {
     this->refuse(aExchange, *error, true);
     return;
   }
-  const Admitted& admitted = std::get<Admitted>(verdict);
+  const Admitted& admitted = std::get<Admitted>(decision);
   aExchange.route = admitted.route;
   aExchange.account = admitted.account;
   aExchange.keyed = admitted.requiresKey;
@@ -144,7 +150,7 @@
   aExchange.service = this->pickService(aExchange);
   this->budgetOf(aExchange).onRequest(this->now);
   aExchange.need = this->estimateTokenNeed(aExchange);
-  if (const auto last = numberIn(headers.find(this->names.lastEventId))) {
+  if (const auto last = parseCount(headers.find(this->names.lastEventId))) {
     aExchange.lastEvent = static_cast<std::uint64_t>(*last);
   }
   this->dispatch(aExchange);
@@ -156,26 +162,30 @@
   return ConfigProof{ this->shared.freshness.age(), this->shared.storeFails };
 }
 
+/** Returns whether the request may be sent now under the configuration. */
 bool
 RelayLoop::Impl::isConfigFresh(const Exchange& aExchange) const
 {
   return isUsable(this->configProof(), this->gate, aExchange.keyed);
 }
 
+/** Formats the head of the request for a replica: the caller's without
+ * hop-by-hop fields, plus the relay's own fields. */
 std::string
 RelayLoop::Impl::requestHead(const Exchange& aExchange,
                              const AttemptTarget& aTarget) const
 {
   const MessageHead& head = aExchange.head;
   const RelayHeaderNames& own = this->names;
-  const auto replaced = [&](std::string_view aName) {
-    const std::array<std::string_view, 8> kOwn{
+  const auto isReplaced = [&](std::string_view aName) {
+    const std::array<std::string_view, 8> kReplaced{
       own.apiKey, own.account, own.deadline,     own.expectReplica,
       own.path,   own.urgency, "content-length", "expect"
     };
-    return std::any_of(kOwn.begin(), kOwn.end(), [&](std::string_view aOne) {
-      return sameToken(aOne, aName);
-    });
+    return std::any_of(
+      kReplaced.begin(), kReplaced.end(), [&](std::string_view aReplaced) {
+        return sameToken(aReplaced, aName);
+      });
   };
   const bool resumed = aExchange.lastEvent && aExchange.answering;
   std::string text = head.method + " " + head.target + " HTTP/1.1\r\n";
@@ -183,7 +193,7 @@
     text.append(aName).append(": ").append(aValue).append("\r\n");
   };
   for (const auto& [name, value] : head.headers.all()) {
-    if (replaced(name) || isHopByHop(head.headers, name) ||
+    if (isReplaced(name) || isHopByHop(head.headers, name) ||
         (resumed && sameToken(name, own.lastEventId))) {
       continue;
     }
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -1,4 +1,5 @@
-// What replicas answer, and how it reaches the caller.
+// Answers of replicas: forwarding them to the caller, and retrying attempts
+// that were refused or failed.
 
 #include <algorithm>
 #include <array>
@@ -10,31 +11,31 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kMultiple = 300;
-constexpr int kMisdirected = 421;
+constexpr int kMultipleChoices = 300;
+constexpr int kMisdirectedRequest = 421;
 constexpr int kInternalError = 500;
 
-/** Attempts for one request, those that were refused included. */
-constexpr int kMostSends = 4;
+/** Maximum number of attempts for one request, including refused ones. */
+constexpr int kMaxSends = 4;
 
-/** ... and for a stream of which the caller has part. When a zone is lost,
- * several copies are short of memory at once, and each refuses. */
-constexpr int kMostStreamSends = 8;
+/** The same for a stream of which the caller has received a part. When a zone
+ * is lost, several replicas run out of memory at once, and each refuses the
+ * stream. */
+constexpr int kMaxStreamSends = 8;
 
 bool
 maySendAgain(const Exchange& aExchange)
 {
-  return aExchange.sends <
-         (aExchange.answering ? kMostStreamSends : kMostSends);
+  return aExchange.sends < (aExchange.answering ? kMaxStreamSends : kMaxSends);
 }
 
 bool
 isSuccess(int aStatus)
 {
-  return aStatus >= kOk && aStatus < kMultiple;
+  return aStatus >= kOk && aStatus < kMultipleChoices;
 }
 
-/** One chunk of a body of unknown length. */
+/** Formats one chunk of a chunked body. */
 std::string
 chunkOf(std::string_view aBytes)
 {
@@ -49,6 +50,9 @@
 
 } // namespace
 
+/** Formats the head of the answer for the caller: the replica's without
+ * hop-by-hop fields, plus aFraming. The caller's connection is closed after the
+ * answer if the relay drains. */
 std::string
 RelayLoop::Impl::answerHead(const Exchange& aExchange,
                             const MessageHead& aHead,
@@ -82,9 +86,9 @@
 {
   const MessageHead& head = aConnection.parser->head();
   this->recordRateLimit(aExchange, head);
-  const bool notRun = head.headers.find(this->names.notRun).has_value() ||
-                      head.status == kMisdirected;
-  if (notRun) {
+  const bool notExecuted = head.headers.find(this->names.notRun).has_value() ||
+                           head.status == kMisdirectedRequest;
+  if (notExecuted) {
     this->onNotExecuted(aExchange, head);
     return;
   }
@@ -108,6 +112,8 @@
   }
 }
 
+/** Forwards the complete events among the bytes to the caller; the first ones
+ * with the head of the answer. With aEnd, also ends the chunked body. */
 void
 RelayLoop::Impl::forwardEvents(Exchange& aExchange,
                                const std::string& aBytes,
@@ -115,7 +121,7 @@
 {
   std::string out;
   for (const StreamEvent& event : aExchange.splitter.feed(aBytes)) {
-    // A run that goes on elsewhere may begin with what the caller has.
+    // A resumed run may repeat events that the caller has already received.
     if (event.id && aExchange.lastEvent && *event.id <= *aExchange.lastEvent) {
       continue;
     }
@@ -161,7 +167,7 @@
   }
 }
 
-/** The first event after a repair tells how long it took. */
+/** Records the time from a repair to the first event after it. */
 void
 RelayLoop::Impl::recordRepairTime(Exchange& aExchange)
 {
@@ -177,6 +183,8 @@
                            .with("after_ms", took.count() / kMicrosPerMs));
 }
 
+/** Handles the end of an answer: retries a server error (5xx) of an idempotent
+ * request, else completes the answer to the caller. */
 void
 RelayLoop::Impl::onAnswerDone(std::uint64_t aExchange,
                               std::uint64_t aConnection)
@@ -192,12 +200,12 @@
   const bool stream = exchange.streaming && isSuccess(head.status);
   if (!isSuccess(head.status) && head.status >= kInternalError) {
     this->health.onFailure(exchange.replica, ReplicaFailure::Faulty, this->now);
-    const bool again =
+    const bool retry =
       exchange.route->rule == RetryRule::Idempotent &&
       exchange.runs + 1 < exchange.route->attempts &&
-      exchange.sends < kMostSends &&
+      exchange.sends < kMaxSends &&
       this->budgetOf(exchange).tryRetry(retryNeedOf(exchange), this->now);
-    if (again) {
+    if (retry) {
       this->shared.metrics.countRetry(RetryReason::ReplicaFailed);
       exchange.avoid.insert(exchange.replica);
       exchange.connection = 0;
@@ -211,7 +219,7 @@
     this->health.onSuccess(exchange.replica);
   }
   if (exchange.answering && !stream) {
-    // A resumed attempt failed after the stream's head had gone out.
+    // A resumed attempt failed after the head of the stream was sent.
     this->onAttemptFailed(exchange, ReplicaFailure::Faulty, "resume refused");
     return;
   }
@@ -257,22 +265,23 @@
                      this->answerHead(aExchange, aHead, framing) + aBody);
 }
 
-/** The replica, or one on its path, says that the request did not run. */
+/** Handles an answer by which the replica, or another one on its path, states
+ * that it did not execute the request. The request is sent again elsewhere. */
 void
 RelayLoop::Impl::onNotExecuted(Exchange& aExchange, const MessageHead& aHead)
 {
   std::string faulty = aExchange.replica;
   if (const auto at = aHead.headers.find(this->names.faultyReplica)) {
     const Result<Address> address = addressFromText(*at);
-    const Replica* named =
+    const Replica* reported =
       address ? this->replicaByAddress(address.value()) : nullptr;
-    faulty = named != nullptr ? named->id : faulty;
+    faulty = reported != nullptr ? reported->id : faulty;
   }
-  const bool path = !aExchange.path.parts.empty();
-  // Work that found no replica at a part of its path for the whole stall time
-  // comes back as refused: that part is dead, not full.
+  const bool hasPath = !aExchange.path.parts.empty();
+  // Work that reached no replica at one part of its path for the whole stall
+  // timeout also comes back as refused. That replica is dead, not full.
   const bool stalled =
-    path && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
+    hasPath && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
   this->health.onFailure(faulty,
                          stalled ? ReplicaFailure::Stalled
                                  : ReplicaFailure::Refused,
@@ -284,7 +293,7 @@
                            .with("stalled", stalled ? 1 : 0));
   aExchange.avoid.insert(faulty);
   this->dropAttempt(aExchange, false);
-  // A started stream waits for the budget, and for a path, before it is cut.
+  // A started stream first waits for the retry budget and for a path.
   if (maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(RetryReason::ReplicaRefused);
     aExchange.owesRetry = true;
@@ -296,35 +305,39 @@
                aExchange.runs == 0);
 }
 
-/** The present attempt has ended without a whole answer. */
+/** Handles the end of the current attempt without a complete answer: retries
+ * the request if it did not run or may be repeated, else answers with an error.
+ */
 void
 RelayLoop::Impl::onAttemptFailed(Exchange& aExchange,
                                  ReplicaFailure aFailure,
                                  std::string_view aCause)
 {
   constexpr std::int64_t kMicrosPerMs = 1000;
-  const bool ran = this->mayHaveRun(aExchange);
+  const bool possiblyRan = this->mayHaveRun(aExchange);
   this->health.onFailure(aExchange.replica, aFailure, this->now);
   this->shared.log.write(
     LogLine{ LogPart::Path, "attempt_broken" }
       .with("id", aExchange.requestId)
       .with("replica", aExchange.replica)
       .with("cause", aCause)
-      .with("sent", ran ? 1 : 0)
+      .with("sent", possiblyRan ? 1 : 0)
       .with("events", aExchange.events)
       .with("content", toText(contentFingerprint(aExchange)))
       .with("there_ms", (this->now - aExchange.sentAt).count() / kMicrosPerMs));
   aExchange.avoid.insert(aExchange.replica);
-  this->dropAttempt(aExchange, ran);
+  this->dropAttempt(aExchange, possiblyRan);
   const RelayRoute& route = *aExchange.route;
-  const bool repeatable = route.rule == RetryRule::Idempotent ||
-                          (route.rule == RetryRule::Stream && route.resumable);
-  const bool allowed = !ran || (repeatable && aExchange.runs < route.attempts);
+  const bool isRepeatable =
+    route.rule == RetryRule::Idempotent ||
+    (route.rule == RetryRule::Stream && route.resumable);
+  const bool retryAllowed =
+    !possiblyRan || (isRepeatable && aExchange.runs < route.attempts);
   if (aFailure == ReplicaFailure::Unreachable) {
     this->publishLost();
     this->confirmCrashes();
   }
-  if (allowed && maySendAgain(aExchange)) {
+  if (retryAllowed && maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(aExchange.answering
                                       ? RetryReason::StreamBroken
                                       : RetryReason::ReplicaFailed);
@@ -333,8 +346,9 @@
     return;
   }
   this->refuse(aExchange,
-               Error{ ran || aExchange.runs > 0 ? ErrorKind::OutcomeUnknown
-                                                : ErrorKind::NoRoute,
+               Error{ possiblyRan || aExchange.runs > 0
+                        ? ErrorKind::OutcomeUnknown
+                        : ErrorKind::NoRoute,
                       "the replica was lost" },
                aExchange.runs == 0);
 }
