--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -1,4 +1,5 @@
-// Where an attempt goes: a path through engines, or one plain replica.
+// Choice of the target of an attempt: a path through engine replicas, or one
+// replica of a plain service.
 
 #include <algorithm>
 #include <charconv>
@@ -13,36 +14,40 @@
 namespace poplartrack {
 namespace {
 
-/** Part of the pipe between two zones that all relays book together. Tokens of
- * the streams that cross wait behind prompts: on a pipe that is mostly free
- * they are on time. */
-constexpr double kCalmPart = 0.3;
+/** Share of the capacity of a zone link that all relays together may reserve.
+ * Tokens of streams that cross the link wait behind prompts; while the link is
+ * mostly free they are on time. */
+constexpr double kFastLinkShare = 0.3;
 
-/** ... and of a pipe so slow that a prompt alone holds streams up: they are
- * late in any case, and what it carries at all counts. */
-constexpr double kSlowLinkPart = 0.95;
+/** The same for a link so slow that a single prompt delays streams noticeably.
+ * Streams are late there in any case, so throughput counts. */
+constexpr double kSlowLinkShare = 0.95;
 
 constexpr double kBytesPerMegabit = 1e6 / 8;
 
-/** How often a prompt may cross pipes and take half of the objective for that:
- * with more, its first event is late, and others that could be on time wait for
- * the pipes. */
+/**
+ * Returns how many zone crossings a prompt can make within half of its latency
+ * objective. With more crossings its first event is late, and it delays other
+ * requests at the links that could still be on time.
+ */
 std::uint32_t
-crossingsInTime(const Exchange& aExchange, const PathDemand& aDemand)
+maxCrossingsInTime(const Exchange& aExchange, const PathDemand& aDemand)
 {
-  constexpr double kPart = 0.5;
+  constexpr double kTransferShare = 0.5;
   const double objectiveMs =
     std::chrono::duration<double, std::milli>(aExchange.route->objective)
       .count();
   const double transfer =
     transferMs(*aExchange.service->engine, aDemand.promptTokens);
-  constexpr double kMost = 1'000;
-  return static_cast<std::uint32_t>(
-    std::min(kPart * objectiveMs / std::max(transfer, 1e-3), kMost));
+  constexpr double kMaxCrossings = 1'000;
+  return static_cast<std::uint32_t>(std::min(
+    kTransferShare * objectiveMs / std::max(transfer, 1e-3), kMaxCrossings));
 }
 
+/** Parses a comma-separated list of numbers; a token that is no number yields
+ * 0. */
 std::vector<double>
-numbersIn(std::string_view aText)
+parseNumbers(std::string_view aText)
 {
   std::vector<double> numbers;
   while (!aText.empty()) {
@@ -59,8 +64,8 @@
 
 } // namespace
 
-/** The service among the route's targets, by weight. The same request goes to
- * the same service again. */
+/** Chooses a service among the route's targets by weight. The choice depends on
+ * the request id only, so a retry goes to the same service. */
 const RelayService*
 RelayLoop::Impl::pickService(const Exchange& aExchange) const
 {
@@ -83,6 +88,8 @@
   return nullptr;
 }
 
+/** Returns the tokens that the request states in its headers, or else the means
+ * of the service's engine. */
 TokenNeed
 RelayLoop::Impl::estimateTokenNeed(const Exchange& aExchange) const
 {
@@ -94,12 +101,13 @@
   need.prompt = engine.meanPromptTokens;
   need.answer = engine.meanAnswerTokens;
   const HeaderList& headers = aExchange.head.headers;
-  const auto counts = numbersIn(headers.find(this->names.tokens).value_or(""));
+  const auto counts =
+    parseNumbers(headers.find(this->names.tokens).value_or(""));
   if (!counts.empty()) {
     need.prompt = counts[0];
   }
   const auto hint =
-    numbersIn(headers.find(this->names.lengthHint).value_or(""));
+    parseNumbers(headers.find(this->names.lengthHint).value_or(""));
   if (!hint.empty() && hint[0] > 0) {
     need.answer = hint[0];
   }
@@ -109,6 +117,7 @@
   return need;
 }
 
+/** Records the load of the current attempt at its replicas. */
 void
 RelayLoop::Impl::addLoad(Exchange& aExchange)
 {
@@ -124,7 +133,7 @@
   aExchange.reading = true;
 }
 
-/** The first event of an attempt has come: its prompt has been read. */
+/** Records that the prefill of the current attempt is over. */
 void
 RelayLoop::Impl::endPrefill(Exchange& aExchange)
 {
@@ -185,7 +194,8 @@
                                    : this->choosePlain(aExchange);
 }
 
-/** How slow a replica is, as this relay or another has learned. */
+/** Returns the higher one of the slowdowns that this relay and the others have
+ * measured for a replica. */
 double
 RelayLoop::Impl::slowdownOf(const std::string& aReplica) const
 {
@@ -193,7 +203,8 @@
                   this->reports.slowdown(aReplica));
 }
 
-/** Whether a replica is certainly lost, as far as all relays can tell. */
+/** Returns whether a replica has restarted, or is certainly lost by the reports
+ * of all known relays. */
 bool
 RelayLoop::Impl::isLost(const std::string& aReplica) const
 {
@@ -203,6 +214,8 @@
                             this->knownPeers.size() + 1);
 }
 
+/** Returns the replicas of the request's service that can be part of a path;
+ * with aSlowToo also those that are degraded. */
 std::vector<PathCandidate>
 RelayLoop::Impl::candidatesFor(const Exchange& aExchange, bool aSlowToo)
 {
@@ -228,24 +241,26 @@
   return candidates;
 }
 
-/** A path by replicas of a usual pace, else by slow ones too. It crosses zones
- * only where pipes have room. */
+/** Finds a path through replicas of normal speed, or else through degraded ones
+ * too. It crosses zones only over links with free capacity. */
 Result<LayerPath>
 RelayLoop::Impl::findPathFor(const Exchange& aExchange, PathDemand aDemand)
 {
   const EngineProfile& engine = *aExchange.service->engine;
   if (engine.linkMbps > 0) {
-    // Relays that are not heard send too: their part is left to them.
-    const auto heard = static_cast<double>(this->knownPeers.size() + 1);
-    const auto known =
+    // Relays that this one doesn't receive reports from use the links too.
+    // Their share of the capacity is left to them.
+    const auto reporting = static_cast<double>(this->knownPeers.size() + 1);
+    const auto listed =
       static_cast<double>(this->shared.peers.read()->size() + 1);
-    const double part = crossesSteadily(engine) ? kCalmPart : kSlowLinkPart;
-    this->links.setRate(part * engine.linkMbps * kBytesPerMegabit *
-                        std::min(heard / known, 1.0));
+    const double share =
+      crossesSteadily(engine) ? kFastLinkShare : kSlowLinkShare;
+    this->links.setRate(share * engine.linkMbps * kBytesPerMegabit *
+                        std::min(reporting / listed, 1.0));
     aDemand.closed = this->links.closed(this->now);
     aDemand.waits = this->links.waits(this->now);
     if (!aDemand.started) {
-      aDemand.maxCrossings = crossingsInTime(aExchange, aDemand);
+      aDemand.maxCrossings = maxCrossingsInTime(aExchange, aDemand);
     }
   }
   Result<LayerPath> path = fail(ErrorKind::NoRoute, "");
@@ -258,8 +273,8 @@
   return path;
 }
 
-/** Books what a path takes of the pipes between zones: the prompt's activations
- * and those of each token that is written. */
+/** Reserves capacity of the zone links that a path crosses: for the activations
+ * of the prompt and of each generated token. */
 void
 RelayLoop::Impl::reserveLinkCapacity(const Exchange& aExchange,
                                      const LayerPath& aPath)
@@ -271,6 +286,8 @@
   }
 }
 
+/** Chooses a path for the request. Unless aFirst is empty, the path begins at
+ * this replica. */
 Result<AttemptTarget>
 RelayLoop::Impl::choosePath(const Exchange& aExchange,
                             const std::string& aFirst)
