--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -1,5 +1,5 @@
-// Requests under which replicas end: noticing them, telling the other relays,
-// and sending them to no replica any more.
+// Requests that crash replicas: detecting them, reporting them to the other
+// relays, and keeping them in quarantine.
 
 #include <algorithm>
 
@@ -8,65 +8,74 @@
 namespace poplartrack {
 namespace {
 
-/** A request whose first event came no longer ago than this had just begun. */
-constexpr Duration kJustBegun = std::chrono::milliseconds{ 1'000 };
+/** A crash up to this time after the request's first event counts as early, and
+ * so does a crash before that event. */
+constexpr Duration kEarlyCrashTime = std::chrono::milliseconds{ 1'000 };
 
-/** What was served before is tried again once replicas that crashed are back;
- * one relay after the other, so that few replicas end if it was to blame. */
-constexpr Duration kTrialAfter = std::chrono::seconds{ 5 };
-constexpr Duration kTrialApart = std::chrono::seconds{ 5 };
+/** Delay until a request in quarantine that was served before is tried once
+ * more: by then crashed replicas have restarted. */
+constexpr Duration kTrialDelay = std::chrono::seconds{ 5 };
 
-/** Ends of replicas that one word tells of. */
-constexpr std::size_t kMostCrashRows = 64;
+/** Time between the trials of two relays for the same request. They take turns,
+ * so that few replicas crash if the request is responsible. */
+constexpr Duration kTrialInterval = std::chrono::seconds{ 5 };
 
-/** Records of the quarantine that one word tells of, the latest first: older
- * ones have been told, and the store keeps them. */
-constexpr std::size_t kMostQuarantineRows = 64;
+/** Maximum number of crashes that a status message reports. */
+constexpr std::size_t kMaxCrashRows = 64;
+
+/** Maximum number of quarantine records that a status message reports, the
+ * latest first. Older ones have been reported before, and the store keeps them.
+ */
+constexpr std::size_t kMaxQuarantineRows = 64;
 
 } // namespace
 
-/** The connection under an attempt has ended. If its replica has too, the
- * request may have done that. A replica that leaves ends as planned; one that
- * falls silent is rather cut off. */
+/**
+ * Records that the connection of the current attempt has ended. If the replica
+ * turns out to have crashed, the request may be responsible. A draining replica
+ * exits as planned and is left out. A replica that falls silent has more likely
+ * lost its network, so its crash does not count as early.
+ */
 void
 RelayLoop::Impl::recordPossibleCrash(Exchange& aExchange, ConnectionEnd aEnd)
 {
-  const bool planned = this->drainingSince.contains(aExchange.replica);
-  if (planned || !this->mayHaveRun(aExchange)) {
+  const bool draining = this->drainingSince.contains(aExchange.replica);
+  if (draining || !this->mayHaveRun(aExchange)) {
     return;
   }
-  const bool justBegun =
-    !aExchange.runningSince || this->now - *aExchange.runningSince < kJustBegun;
-  const bool early = justBegun && aEnd == ConnectionEnd::Closed;
+  const bool atStart = !aExchange.runningSince ||
+                       this->now - *aExchange.runningSince < kEarlyCrashTime;
+  const bool early = atStart && aEnd == ConnectionEnd::Closed;
   this->crashWatch.onBroken(
     CrashReport{ contentFingerprint(aExchange), aExchange.replica, early },
     this->now);
 }
 
 /**
- * Whether a replica has certainly ended. This relay alone may be the one that
- * is cut off: what breaks off then is nobody's doing, so two relays have to
- * miss the replica, or the list.
+ * Returns whether a replica has certainly exited or restarted: it is not in the
+ * replica list, or two relays cannot reach it. One relay is not enough, since
+ * it may be cut off itself, and requests that break off then are not
+ * responsible.
  */
 bool
 RelayLoop::Impl::hasExited(const std::string& aReplica) const
 {
-  // However many relays there are, two decide.
-  constexpr std::size_t kAsOfFew = 1;
+  // With a count of 1, two reports are enough however many relays there are.
+  constexpr std::size_t kRelayCount = 1;
   return this->ended.contains(aReplica) ||
          this->replicaById(aReplica) == nullptr ||
          this->reports.lost(
-           aReplica, this->health.dead(aReplica, this->now), kAsOfFew);
+           aReplica, this->health.dead(aReplica, this->now), kRelayCount);
 }
 
-/** Enters the ends that are certain by now. */
+/** Enters the crashes that are certain by now into the crash ledger. */
 void
 RelayLoop::Impl::confirmCrashes()
 {
   for (const std::string& replica : this->crashWatch.replicas()) {
     const Replica* listed = this->replicaById(replica);
     if (listed != nullptr && listed->draining) {
-      // It ends as planned.
+      // A draining replica exits as planned.
       this->crashWatch.forget(replica);
       continue;
     }
@@ -84,7 +93,8 @@
   this->crashWatch.expire(this->now);
 }
 
-/** A request is in quarantine from now on. */
+/** Handles that a request has come into quarantine. aOwn: by a crash that this
+ * relay has entered. */
 void
 RelayLoop::Impl::beginQuarantine(const Fingerprint& aRequest, bool aOwn)
 {
@@ -92,13 +102,13 @@
                            .with("content", toText(aRequest))
                            .with("own", aOwn ? 1 : 0));
   if (this->servedContents.lastServed(aRequest, this->now)) {
-    const std::size_t before = this->trialRank(aRequest);
+    const std::size_t earlier = this->trialRank(aRequest);
     this->crashes.allowTrial(aRequest,
-                             this->now + kTrialAfter +
-                               kTrialApart * static_cast<int>(before));
+                             this->now + kTrialDelay +
+                               kTrialInterval * static_cast<int>(earlier));
   }
   this->publishQuarantine();
-  // Not from here: a request that looks for a path may have brought the news.
+  // Deferred, because the caller may be a request that is choosing its path.
   this->post([this, aRequest, aOwn] {
     if (aOwn) {
       this->broadcastStatus(true);
@@ -107,8 +117,8 @@
   });
 }
 
-/** How many relays come before this one, in an order for the request that all
- * agree on. */
+/** Returns this relay's position in the order of trials for the request. All
+ * relays compute the same order. */
 std::size_t
 RelayLoop::Impl::trialRank(const Fingerprint& aRequest) const
 {
@@ -122,22 +132,23 @@
     }));
 }
 
-/** Takes a request off the replicas that have not begun to run it yet. */
+/** Ends the attempts of a request in quarantine that have no event yet. Those
+ * with events have begun to run and continue. */
 void
 RelayLoop::Impl::stopQuarantined(const Fingerprint& aRequest)
 {
-  std::vector<std::uint64_t> notBegun;
+  std::vector<std::uint64_t> pending;
   for (const auto& [id, exchange] : this->exchanges) {
-    const bool begun = exchange->runningSince.has_value();
-    if (exchange->connection != 0 && !begun &&
+    const bool running = exchange->runningSince.has_value();
+    if (exchange->connection != 0 && !running &&
         contentFingerprint(*exchange) == aRequest) {
-      notBegun.push_back(id);
+      pending.push_back(id);
     }
   }
-  for (const std::uint64_t id : notBegun) {
+  for (const std::uint64_t id : pending) {
     const auto found = this->exchanges.find(id);
     if (found == this->exchanges.end()) {
-      // The end of another one has ended it too.
+      // It ended together with another exchange of this loop.
       continue;
     }
     Exchange& exchange = *found->second;
@@ -146,7 +157,7 @@
   }
 }
 
-/** How long the request is sent to no replica; nothing when it may be. */
+/** Returns how long the request stays in quarantine; empty if it is in none. */
 std::optional<Duration>
 RelayLoop::Impl::quarantineLeft(Exchange& aExchange) const
 {
@@ -156,6 +167,7 @@
   return this->crashes.quarantineLeft(contentFingerprint(aExchange), this->now);
 }
 
+/** Answers a request in quarantine with an error. */
 void
 RelayLoop::Impl::refuseQuarantined(Exchange& aExchange)
 {
@@ -165,7 +177,7 @@
     aExchange.runs == 0);
 }
 
-/** A replica has run the request to a good end. */
+/** Records that a replica completed the request, which ends its quarantine. */
 void
 RelayLoop::Impl::recordServed(Exchange& aExchange)
 {
@@ -176,6 +188,7 @@
   }
 }
 
+/** Handles that a request has been released from quarantine. */
 void
 RelayLoop::Impl::endQuarantine(const Fingerprint& aRequest)
 {
@@ -184,7 +197,7 @@
   this->publishQuarantine();
 }
 
-/** For the thread that keeps the quarantine in the store. */
+/** Passes the quarantine to the thread that keeps it in the store. */
 void
 RelayLoop::Impl::publishQuarantine()
 {
@@ -195,7 +208,8 @@
   this->shared.quarantine.replace(std::move(records));
 }
 
-/** Takes over what the store keeps, and forgets what is over. */
+/** Takes over the quarantine in the store, enters certain crashes and drops
+ * expired records. */
 void
 RelayLoop::Impl::refreshQuarantine()
 {
@@ -216,11 +230,13 @@
   }
 }
 
+/** Adds the crashes, the quarantine and the released requests to a status
+ * message. */
 void
 RelayLoop::Impl::addCrashes(PeerStatus& aStatus) const
 {
   for (CrashReport& report :
-       this->crashes.latestCrashes(this->now, kMostCrashRows)) {
+       this->crashes.latestCrashes(this->now, kMaxCrashRows)) {
     aStatus.crashes.push_back(
       CrashRow{ report.request, std::move(report.replica), report.early });
   }
@@ -230,7 +246,7 @@
             [](const QuarantineRecord& aLeft, const QuarantineRecord& aRight) {
               return aLeft.age < aRight.age;
             });
-  records.resize(std::min(records.size(), kMostQuarantineRows));
+  records.resize(std::min(records.size(), kMaxQuarantineRows));
   for (const QuarantineRecord& record : records) {
     aStatus.quarantine.push_back(
       QuarantineRow{ record.request, record.age.count() });
@@ -238,6 +254,8 @@
   aStatus.served = this->crashes.latestServed(this->now);
 }
 
+/** Takes over the crashes, the quarantine and the released requests of another
+ * relay. */
 void
 RelayLoop::Impl::onPeerCrashes(const PeerStatus& aStatus)
 {
