--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -1,4 +1,4 @@
-// Replicas that leave: which do, and moving their streams before they end.
+// Draining replicas: detecting them, and moving their streams before they exit.
 
 #include <algorithm>
 #include <map>
@@ -9,55 +9,55 @@
 namespace poplartrack {
 namespace {
 
-/** A leaving replica takes no new work and serves on for the drain time at
- * least. What it runs is moved after this part of it, when its neighbours have
- * had the time to take its layers over. */
-constexpr int kDrainNoticePart = 2;
+/** Divisor of the drain time. A draining replica takes no new work and
+ * continues to serve for at least the drain time. Its requests are moved after
+ * half of it, when neighbouring replicas have had time to load its layers. */
+constexpr int kDrainNoticeDivisor = 2;
 
-/** What another relay told of leaving replicas holds for this many times the
- * bound on leaving replicas after it was told last: by then the own list has
- * caught up, or the replica is gone. */
-constexpr int kDrainReportBounds = 2;
+/** A peer's report of a draining replica expires after this many drain times
+ * without being repeated. By then this relay's list is up to date, or the
+ * replica has exited. */
+constexpr int kDrainReportLifetime = 2;
 
-/** By then it is gone, and with it all that it ran. */
-constexpr Duration kDrainingForgotten = std::chrono::seconds{ 20 };
+/** A draining replica is forgotten after this time. By then it has exited. */
+constexpr Duration kDrainingRetention = std::chrono::seconds{ 20 };
 
-/** A stream that ends in this time is left where it is. */
-constexpr Duration kNearlyDone = std::chrono::milliseconds{ 1'000 };
+/** A stream with at most this expected remaining time is not moved. */
+constexpr Duration kMaxTimeLeftUnmoved = std::chrono::milliseconds{ 1'000 };
 
-/** Streams that are moved in one round of regular work: at five rounds a second
- * the thirty that a relay has at one replica are moved in a second or so. */
-constexpr std::size_t kMovesAtOnce = 5;
+/** Maximum number of streams that are moved in one round of regular work. At
+ * five rounds a second, the thirty streams of one relay at a replica are moved
+ * in about one second. */
+constexpr std::size_t kMaxMovesPerRound = 5;
 
 } // namespace
 
-/** Notes which replicas have begun to leave, or were taken off the list. Those
- * that started again are not among them: nothing of theirs is left to move in
- * time. */
+/** Records which replicas have begun to drain or were removed from the list.
+ * Restarted replicas are left out, because their streams are already lost. */
 void
 RelayLoop::Impl::recordDraining(const ReplicaView& aLatest)
 {
-  std::map<std::string, bool> drains;
+  std::map<std::string, bool> listed;
   for (const Replica& replica : aLatest.replicas) {
-    drains.emplace(replica.id, replica.draining);
+    listed.emplace(replica.id, replica.draining);
     if (!replica.draining) {
-      // It had lapsed while the store was away, and is back.
+      // Its entry had expired while the store was unavailable, and is renewed.
       this->drainingSince.erase(replica.id);
     }
   }
   for (const Replica& replica : this->view->replicas) {
-    const auto found = drains.find(replica.id);
-    const bool leaves = found == drains.end() || found->second;
-    if (leaves && !this->ended.contains(replica.id)) {
+    const auto found = listed.find(replica.id);
+    const bool drains = found == listed.end() || found->second;
+    if (drains && !this->ended.contains(replica.id)) {
       this->drainingSince.try_emplace(replica.id, this->now);
     }
   }
   std::erase_if(this->drainingSince, [this](const auto& aEntry) {
-    return this->now - aEntry.second > kDrainingForgotten;
+    return this->now - aEntry.second > kDrainingRetention;
   });
 }
 
-/** Notes replicas whose endpoint is listed with a later start. */
+/** Detects replicas whose endpoint is listed with a later start time. */
 void
 RelayLoop::Impl::detectRestarts(const ReplicaView& aLatest)
 {
@@ -74,10 +74,10 @@
 }
 
 /**
- * The endpoint has started again: the replica that it was is gone with all that
- * ran there, and streams through it move at once. Taken for the one that it
- * was, it was sent paths through layers that it does not hold, and streams
- * stood still until the 2.5 s were over after which the others give them up.
+ * Handles a restart of the replica's process. All its work is lost, and streams
+ * through it are moved at once. Without this, paths would lead through layers
+ * that the new process does not hold, and streams would stall for 2.5 s until
+ * the other replicas of the path abandon them.
  */
 void
 RelayLoop::Impl::endIncarnation(const std::string& aReplica)
@@ -89,11 +89,11 @@
   this->shared.log.write(
     LogLine{ LogPart::Replicas, "restarted" }.with("replica", aReplica));
   this->drainingSince.erase(aReplica);
-  // Not from here: a request that looks for a path may have brought the list.
+  // Deferred, because the caller may be a request that is choosing its path.
   this->post([this, aReplica] { this->onFaultyReplica(aReplica); });
 }
 
-/** Replicas that leave, or were taken off the list lately. */
+/** Returns the replicas that drain or were removed from the list recently. */
 std::set<std::string>
 RelayLoop::Impl::drainingReplicas() const
 {
@@ -110,11 +110,10 @@
 }
 
 /**
- * Takes over which replicas leave from a relay that has a newer list. A look at
- * the list may wait on a connection that has fallen silent: one relay's list
- * stood still for 5 s, and a plain replica that had left was sent a request
- * 3.4 s after its word, bound 3 s. Others had the news and told only that they
- * had some.
+ * Takes over the draining replicas from a relay that has a newer replica list.
+ * This relay's own poll of the list may hang on a connection that has fallen
+ * silent. With a list that was stale for 5 s, a relay sent a request to a plain
+ * replica 3.4 s after that had announced its drain, where the bound is 3 s.
  */
 void
 RelayLoop::Impl::onPeerDraining(const PeerStatus& aStatus)
@@ -128,27 +127,28 @@
   }
 }
 
-/** Drops what the own list tells by now, and what is too old. */
+/** Drops the reports that this relay's own list includes, and expired ones. */
 void
 RelayLoop::Impl::expireDrainReports()
 {
   std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
     const PeerDrainReport& report = aEntry.second;
     return report.list <= this->view->changed ||
-           this->now - report.heard > this->settings.drain * kDrainReportBounds;
+           this->now - report.heard >
+             this->settings.drain * kDrainReportLifetime;
   });
 }
 
-/** Whether the replica takes no new work, as this relay's list says or that of
- * another one which has a newer list. */
+/** Returns whether the replica drains and takes no new work, according to this
+ * relay's list or to a peer with a newer list. */
 bool
 RelayLoop::Impl::isDraining(const Replica& aReplica) const
 {
   return aReplica.draining || this->peerDrainReports.contains(aReplica.id);
 }
 
-/** Whether the request runs through a replica that will be gone before it has
- * ended, as far as can be told, and may be moved. */
+/** Returns whether a stream should be moved: a replica of its path drains and
+ * is expected to exit before the stream ends. */
 bool
 RelayLoop::Impl::usesDrainingReplica(const Exchange& aExchange) const
 {
@@ -156,27 +156,27 @@
     return false;
   }
   const auto& parts = aExchange.path.parts;
-  const bool leaves =
+  const bool drains =
     std::any_of(parts.begin(), parts.end(), [this](const PathPart& aPart) {
       const auto found = this->drainingSince.find(aPart.replica);
       return found != this->drainingSince.end() &&
              this->now - found->second >=
-               this->settings.drain / kDrainNoticePart;
+               this->settings.drain / kDrainNoticeDivisor;
     });
-  const double left =
+  const double tokensLeft =
     aExchange.need.answer - static_cast<double>(aExchange.events) *
                               static_cast<double>(kTokensPerEvent);
-  const auto rest = Duration{ static_cast<std::int64_t>(
-    std::max(left, 0.0) *
+  const auto remaining = Duration{ static_cast<std::int64_t>(
+    std::max(tokensLeft, 0.0) *
     static_cast<double>(aExchange.path.perToken.count())) };
-  return leaves && rest > kNearlyDone;
+  return drains && remaining > kMaxTimeLeftUnmoved;
 }
 
 /**
- * Moves streams off replicas that leave. A leaving replica serves on for some
- * seconds and then ends, in the middle of streams that last longer: their
- * callers saw the answer break off although all of it was planned. A few are
- * moved at a time, since each is read again elsewhere.
+ * Moves streams off draining replicas. A draining replica continues to serve
+ * for some seconds and then exits, which would break off the streams that last
+ * longer. Only a few streams are moved at a time, since each needs a new
+ * prefill at another replica.
  */
 void
 RelayLoop::Impl::moveOffDraining()
@@ -186,7 +186,8 @@
   }
   std::vector<std::uint64_t> moving;
   for (const auto& [id, exchange] : this->exchanges) {
-    if (moving.size() < kMovesAtOnce && this->usesDrainingReplica(*exchange)) {
+    if (moving.size() < kMaxMovesPerRound &&
+        this->usesDrainingReplica(*exchange)) {
       moving.push_back(id);
     }
   }
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -1,4 +1,4 @@
-// Replicas that limit how many requests a second they take.
+// Rate limits that replicas state in their answers, and how relays share them.
 
 #include <charconv>
 #include <cmath>
@@ -8,14 +8,15 @@
 namespace poplartrack {
 namespace {
 
+/** Parses a non-negative finite decimal number; empty if the text is none. */
 std::optional<double>
-decimalIn(std::string_view aText)
+parseDecimal(std::string_view aText)
 {
   double number = 0;
   const char* const end = aText.data() + aText.size();
   const auto [stop, error] = std::from_chars(aText.data(), end, number);
-  const bool whole = error == std::errc{} && stop == end;
-  if (!whole || !std::isfinite(number) || number < 0) {
+  const bool valid = error == std::errc{} && stop == end;
+  if (!valid || !std::isfinite(number) || number < 0) {
     return std::nullopt;
   }
   return number;
@@ -30,24 +31,25 @@
   return static_cast<std::int64_t>(aPerSecond * kMilli);
 }
 
-/** Takes over whether the replica's answer names a limit. Errors and refusals
- * may come without it while it holds. */
+/** Records the rate limit that the replica's answer states, or that it states
+ * none. Only a successful answer without the header ends a limit, since errors
+ * and refusals may lack it. */
 void
 RelayLoop::Impl::recordRateLimit(Exchange& aExchange, const MessageHead& aHead)
 {
   constexpr int kOk = 200;
-  constexpr int kMultiple = 300;
-  const bool success = aHead.status >= kOk && aHead.status < kMultiple;
+  constexpr int kMultipleChoices = 300;
+  const bool success = aHead.status >= kOk && aHead.status < kMultipleChoices;
   const auto field = aHead.headers.find(this->names.rateLimit);
   if (field) {
-    aExchange.namedLimit = decimalIn(*field);
+    aExchange.namedLimit = parseDecimal(*field);
     this->shared.metrics.count(aExchange.namedLimit
                                  ? "answers_with_limit_total"
                                  : "answers_with_unreadable_limit_total");
   }
   const Replica* replica = this->replicaById(aExchange.replica);
-  const bool tells = field ? aExchange.namedLimit.has_value() : success;
-  if (replica == nullptr || !tells ||
+  const bool statesLimit = field ? aExchange.namedLimit.has_value() : success;
+  if (replica == nullptr || !statesLimit ||
       !this->replicaLimits.onAnswer(
         replica->id, replica->zone, aExchange.namedLimit, this->now)) {
     return;
@@ -62,23 +64,24 @@
   this->broadcastStatus(true);
 }
 
-/** Whether a request may go to a replica, as far as it limits them. */
+/** Returns whether this relay's share of the replica's rate limit permits a
+ * request now. */
 bool
 RelayLoop::Impl::takesRequests(const std::string& aReplica)
 {
   return this->replicaLimits.open(aReplica, this->now);
 }
 
-/** Deals the limits out to the relays that are heard. */
+/** Updates the relays that share the limits: all known peers. */
 void
 RelayLoop::Impl::updateLimitShares()
 {
-  std::vector<RateLimitSharer> heard;
-  heard.reserve(this->knownPeers.size());
+  std::vector<RateLimitSharer> sharers;
+  sharers.reserve(this->knownPeers.size());
   for (const auto& [address, peer] : this->knownPeers) {
-    heard.push_back(RateLimitSharer{ address, peer.zone });
+    sharers.push_back(RateLimitSharer{ address, peer.zone });
   }
-  this->replicaLimits.setOthers(std::move(heard),
+  this->replicaLimits.setOthers(std::move(sharers),
                                 this->shared.peers.read()->size() + 1);
   this->replicaLimits.expire(this->now);
   this->shared.metrics.set(
@@ -86,16 +89,19 @@
     static_cast<std::int64_t>(this->replicaLimits.limitedCount()));
 }
 
+/** Adds the rate limits that this relay has seen to a status message. */
 void
 RelayLoop::Impl::addLimits(PeerStatus& aStatus) const
 {
-  constexpr double kNone = -1;
+  constexpr double kNoLimit = -1;
   for (const RateLimitReport& report : this->replicaLimits.own(this->now)) {
-    aStatus.limits.push_back(LimitRow{
-      report.replica, report.perSecond.value_or(kNone), report.age.count() });
+    aStatus.limits.push_back(LimitRow{ report.replica,
+                                       report.perSecond.value_or(kNoLimit),
+                                       report.age.count() });
   }
 }
 
+/** Takes over the rate limits in another relay's status message. */
 void
 RelayLoop::Impl::onPeerLimits(const PeerStatus& aStatus)
 {
