--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -255,7 +255,7 @@
   // RelayStall.cpp: work that stands still.
   [[nodiscard]] Duration stallTimeoutOf(const Exchange& aExchange) const;
   void onStallTimeout(Exchange& aExchange);
-  void requestReport(const PathPart& aPart, Duration aPause);
+  void requestReport(const PathPart& aPart, Duration aMinInterval);
   void requestPathReports(const std::string& aFirst);
   void requestSlowReplicaReports();
   void onReport(const std::string& aReplica, const ReplicaReport& aReport);
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -1,4 +1,4 @@
-// Moving requests off a part of their path that was lost.
+// Moving requests off replicas of their path that were lost or drain.
 
 #include <algorithm>
 #include <vector>
@@ -6,7 +6,8 @@
 #include "RelayLoopImpl.h"
 
 namespace poplartrack {
-/** A replica is lost: all work that passes through it is moved. */
+
+/** Handles the loss of a replica: moves all requests that pass through it. */
 void
 RelayLoop::Impl::onFaultyReplica(const std::string& aReplica)
 {
@@ -19,19 +20,20 @@
   }
 }
 
-/** Requests that are at a replica now, or whose path leads through it. */
+/** Returns the requests in flight whose target is the replica, or whose path
+ * includes it. */
 std::vector<std::uint64_t>
 RelayLoop::Impl::requestsThrough(const std::string& aReplica) const
 {
   std::vector<std::uint64_t> affected;
   for (const auto& [id, exchange] : this->exchanges) {
     const auto& parts = exchange->path.parts;
-    const bool through =
+    const bool passesThrough =
       exchange->replica == aReplica ||
       std::any_of(parts.begin(), parts.end(), [&](const PathPart& aPart) {
         return aPart.replica == aReplica;
       });
-    if (exchange->connection != 0 && through) {
+    if (exchange->connection != 0 && passesThrough) {
       affected.push_back(id);
     }
   }
@@ -39,55 +41,61 @@
 }
 
 /**
- * Moves a request off a lost replica. While its first replica lives, that one
- * can be told another path: the other parts keep their memory and only the new
- * ones read the tokens so far. That is quick inside one zone. Across zones the
- * activations of all those tokens take the shared pipe, and a part is lost to
- * some seventy streams at once: they stood still for 1.1 s (median, of those
- * that moved at all). Read anew by a copy that lies whole in another zone they
- * are back in about 0.3 s, at the price of one attempt.
+ * Moves a request off a lost or draining replica of its path.
+ *
+ * While the first replica of the path lives, it is ordered to use another path.
+ * The replicas that both paths share keep their KV cache, and only the new ones
+ * prefill the tokens so far. This is quick within one zone. Across zones, the
+ * activations of all these tokens take the shared link, and a replica is lost
+ * to some seventy streams at once: such streams stalled for 1.1 s (median of
+ * those that moved at all). A new attempt at a complete copy in another zone
+ * continues the stream within about 0.3 s and uses up one attempt.
  */
 void
 RelayLoop::Impl::repair(Exchange& aExchange, bool aPlanned)
 {
   if (aExchange.path.parts.empty()) {
-    // A plain replica that has started again: nothing of it is left there.
+    // A plain replica has restarted, and the request is lost.
     this->recordPossibleCrash(aExchange, ConnectionEnd::Silent);
     this->onAttemptFailed(
       aExchange, ReplicaFailure::Refused, "replica restarted");
     return;
   }
   const PathPart first = aExchange.path.parts.front();
-  // One that refused a request, as full, lives and runs what it has.
-  const bool firstLives = !this->health.dead(first.replica, this->now) &&
-                          !this->isLost(first.replica);
+  // A replica that refused a request because it is full is not dead and
+  // continues with its other work.
+  const bool firstIsAlive = !this->health.dead(first.replica, this->now) &&
+                            !this->isLost(first.replica);
   if (this->drainingSince.contains(first.replica)) {
     this->moveOffDrainingFirst(aExchange);
     return;
   }
-  if (!firstLives) {
+  if (!firstIsAlive) {
     this->recordPossibleCrash(aExchange, ConnectionEnd::Silent);
     this->onAttemptFailed(
       aExchange, ReplicaFailure::Unreachable, "first replica lost");
     return;
   }
-  // Its own memory on the old path is not in the way of the new one.
+  // The memory that the request itself takes on the old path counts as free.
   this->removeLoad(aExchange);
   const Result<AttemptTarget> target =
     this->choosePath(aExchange, first.replica);
-  const bool crosses = !target || target.value().path.crossings.size() >
-                                    aExchange.path.crossings.size();
+  const bool needsMoreCrossings =
+    !target ||
+    target.value().path.crossings.size() > aExchange.path.crossings.size();
   const bool mayResume = aExchange.route->resumable &&
                          aExchange.runs + 1 < aExchange.route->attempts;
-  // Planned moves are few at a time, so the pipe takes them; the attempt is
-  // kept for a first replica that leaves, which no other path helps. In a
-  // release of six replicas in turn streams met two that leave, and the second
-  // cut them.
-  const bool resumes = !target || !aPlanned;
-  // Without a retry to spend it stays: its zone is whole again after a second
-  // or so, and the replica keeps the work for longer than that.
+  // Only a few planned moves happen at a time, so they may cross a link. They
+  // don't use up the attempt, which is needed if the first replica drains: no
+  // other path can replace it. When six replicas are released one after the
+  // other, a stream may meet two draining replicas, and the second one would
+  // break it off.
+  const bool preferResume = !target || !aPlanned;
+  // Without retry budget the request keeps its attempt: the lost layers are
+  // available again in its zone after about one second, and the first replica
+  // keeps the work for longer than that.
   const RetryNeed need = aPlanned ? RetryNeed::Planned : retryNeedOf(aExchange);
-  if (crosses && mayResume && resumes &&
+  if (needsMoreCrossings && mayResume && preferResume &&
       this->budgetOf(aExchange).open(need, this->now) &&
       this->choosePath(aExchange, {}).ok()) {
     this->onAttemptFailed(aExchange, ReplicaFailure::Refused, "part lost");
@@ -119,10 +127,10 @@
 }
 
 /**
- * Moves a stream off its first replica, which leaves and still serves. Only
- * with a retry to spend: without one the attempt was ended all the same,
- * waited 1.5 s for the budget, and the caller's stream was cut while its
- * replica had work to do and time to do it.
+ * Moves a stream off its first replica, which is draining and still serves, if
+ * the retry budget permits. Ending the attempt without retry budget would make
+ * the stream wait 1.5 s for it and then break off, although its replica can
+ * still run it.
  */
 void
 RelayLoop::Impl::moveOffDrainingFirst(Exchange& aExchange)
@@ -141,6 +149,7 @@
   }
 }
 
+/** Handles the outcome of an order to use another path. */
 void
 RelayLoop::Impl::onRepath(const RepathOrder& aOrder, RepathOutcome aOutcome)
 {
@@ -164,16 +173,17 @@
   const bool mayResume =
     exchange.route->resumable && exchange.runs + 1 < exchange.route->attempts;
   if (aOrder.planned || !mayResume) {
-    // It is where it was. A stream that was to leave in time still runs there,
-    // and is tried again; ending its attempt cut streams that lacked nothing.
+    // The request is still on the old path. A stream that was moved as planned
+    // still runs there, and the move is tried again later. Ending its attempt
+    // would break off a stream that is not disturbed.
     this->removeLoad(exchange);
     exchange.path = aOrder.before;
     this->addLoad(exchange);
     exchange.repairedAt.reset();
     return;
   }
-  // The work stands still until the replica gives it up, after seconds: it goes
-  // on after its last event at another first replica now.
+  // The work would stall for seconds until the first replica abandons it. It is
+  // resumed after its last event at another first replica now.
   this->onAttemptFailed(exchange, ReplicaFailure::Refused, "not moved");
 }
 
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -1,4 +1,5 @@
-// Work that stands still: when to ask, and what the answers mean.
+// Stalled attempts: when to request reports from replicas, and how to act on
+// the reports.
 
 #include <algorithm>
 #include <set>
@@ -8,60 +9,66 @@
 namespace poplartrack {
 namespace {
 
-/** Progress that is this many times overdue is looked into. Passes of other
- * requests' prompts stretch a step two- or threefold. */
-constexpr int kOverdue = 3;
+/** An attempt counts as stalled after this many times the expected time without
+ * progress. Prefill of other requests makes a step two or three times as long.
+ */
+constexpr int kStallFactor = 3;
 
-/** ... but not before this. A question costs a probe, 1 in 1,400,000 of what
- * a day is worth; a stream that moves again within 200 to 250 ms of its last
- * event is still on time. */
-constexpr Duration kLeastPatience = std::chrono::milliseconds{ 100 };
-constexpr Duration kMostPatience = std::chrono::milliseconds{ 900 };
+/** Bounds of the stall timeout. A stream that continues within 200 to 250 ms of
+ * its last event is still on time, and a report costs one probe: 1 in 1,400,000
+ * of the value of a day's traffic. */
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds{ 100 };
+constexpr Duration kMaxStallTimeout = std::chrono::milliseconds{ 900 };
 
-/** A stream through a replica that is known to be lost is moved once it is
- * this much behind; others told of the loss before this relay noticed. */
-constexpr int kOverdueThroughLost = 2;
-constexpr Duration kLeastThroughLost = std::chrono::milliseconds{ 60 };
+/** The same for an attempt through a replica that is known to be lost, which is
+ * then moved. Other relays may report the loss before this one notices it. */
+constexpr int kLostPathStallFactor = 2;
+constexpr Duration kMinLostPathStallTimeout = std::chrono::milliseconds{ 60 };
 
-/** ... and when there was nowhere to move it, again after this. */
-constexpr Duration kMoveAgain = std::chrono::milliseconds{ 150 };
+/** Delay until the move is tried again if there was no other path. */
+constexpr Duration kMoveRetryDelay = std::chrono::milliseconds{ 150 };
 
-/** A replica is asked no more often than this: one answer serves all requests
- * that wait for it. Its report is 200 ms old, so the first one may not show yet
- * what the next one does. */
-constexpr Duration kAskPause = std::chrono::milliseconds{ 90 };
+/** Minimum time between two report requests to a stalled stream's first
+ * replica. One report serves all its streams. A report may be 200 ms old, so
+ * the next one may show a stall that the first one doesn't. */
+constexpr Duration kMinReportInterval = std::chrono::milliseconds{ 90 };
 
-/** ... and the others of a late path no more often than this: a slow replica
- * stays so for seconds, and each question is a priced call. */
-constexpr Duration kAskAllPause = std::chrono::milliseconds{ 1'000 };
+/** The same for the other replicas of a stalled stream's path, and for slow
+ * replicas: a replica stays slow for seconds, and each report is a priced call.
+ */
+constexpr Duration kMinPathReportInterval = std::chrono::milliseconds{ 1'000 };
 
-/** A replica this many times slower than declared is asked again until it is
- * not. */
-constexpr double kSlow = 1.2;
+/** Reports are requested repeatedly while a replica is this many times slower
+ * than declared. */
+constexpr double kSlowFactor = 1.2;
 
 } // namespace
 
-/** How long the present attempt may stand still before its replica is asked. */
+/** Returns how long the current attempt may go without progress before the next
+ * action on its stall. */
 Duration
 RelayLoop::Impl::stallTimeoutOf(const Exchange& aExchange) const
 {
-  const bool begun = aExchange.streaming && aExchange.events > 0;
-  const Duration expected = begun ? aExchange.path.perToken * kTokensPerEvent
-                                  : aExchange.path.firstToken +
-                                      aExchange.path.perToken * kTokensPerEvent;
+  const bool hasEvents = aExchange.streaming && aExchange.events > 0;
+  const Duration expected =
+    hasEvents
+      ? aExchange.path.perToken * kTokensPerEvent
+      : aExchange.path.firstToken + aExchange.path.perToken * kTokensPerEvent;
   if (this->usesLostReplica(aExchange)) {
-    return aExchange.asking ? kMoveAgain
-                            : std::clamp(expected * kOverdueThroughLost,
-                                         kLeastThroughLost,
-                                         kMostPatience);
+    return aExchange.asking ? kMoveRetryDelay
+                            : std::clamp(expected * kLostPathStallFactor,
+                                         kMinLostPathStallTimeout,
+                                         kMaxStallTimeout);
   }
   if (aExchange.asking) {
-    return kAskPause;
+    return kMinReportInterval;
   }
-  return std::clamp(expected * kOverdue, kLeastPatience, kMostPatience);
+  return std::clamp(
+    expected * kStallFactor, kMinStallTimeout, kMaxStallTimeout);
 }
 
-/** Whether the path leads through a replica that is certainly lost. */
+/** Returns whether the path includes a replica that is certainly lost and not
+ * merely slow. */
 bool
 RelayLoop::Impl::usesLostReplica(const Exchange& aExchange) const
 {
@@ -75,9 +82,9 @@
          });
 }
 
-/** Streams through a replica that is newly known to be lost are looked at as
- * soon as they are late. Those that still move are left alone: the loss may be
- * one between that replica and others. */
+/** Shortens the stall timers of streams through a replica that was newly
+ * reported as lost. Streams that still make progress are not moved, since only
+ * the network between this replica and others may be lost. */
 void
 RelayLoop::Impl::rearmStallTimers(const std::string& aReplica)
 {
@@ -86,8 +93,8 @@
   }
 }
 
-/** Nothing has come for too long: the stream is moved when the cause is known,
- * else it is asked for. */
+/** Handles a stalled attempt: moves it if a replica of its path is known to be
+ * lost, else requests a report from its first replica. */
 void
 RelayLoop::Impl::onStallTimeout(Exchange& aExchange)
 {
@@ -97,7 +104,7 @@
   if (this->usesLostReplica(aExchange)) {
     this->repair(aExchange, false);
   } else {
-    this->requestReport(aExchange.path.parts.front(), kAskPause);
+    this->requestReport(aExchange.path.parts.front(), kMinReportInterval);
   }
   const auto still = this->exchanges.find(id);
   if (still != this->exchanges.end() && still->second->connection != 0) {
@@ -105,12 +112,14 @@
   }
 }
 
-/** Asks a replica how it does, unless it was asked lately. */
+/** Requests a status report from a replica, unless the last request was less
+ * than aMinInterval ago. */
 void
-RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aPause)
+RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aMinInterval)
 {
   const auto asked = this->askedAt.find(aPart.replica);
-  if (asked != this->askedAt.end() && this->now - asked->second < aPause) {
+  if (asked != this->askedAt.end() &&
+      this->now - asked->second < aMinInterval) {
     return;
   }
   this->askedAt[aPart.replica] = this->now;
@@ -123,8 +132,9 @@
     });
 }
 
-/** Streams that begin at this replica are late and nothing has stalled: one of
- * their other replicas may be slow, which only it can tell. */
+/** Requests reports from all replicas on the path of one stalled stream of this
+ * first replica. The first replica reported no stalled work, so another replica
+ * of the path may be slow, which only its own report shows. */
 void
 RelayLoop::Impl::requestPathReports(const std::string& aFirst)
 {
@@ -134,31 +144,33 @@
       continue;
     }
     for (const PathPart& part : parts) {
-      this->requestReport(part, kAskAllPause);
+      this->requestReport(part, kMinPathReportInterval);
     }
     return;
   }
 }
 
-/** Those that were slow are asked again, to notice when they are not. */
+/** Requests reports from slow replicas, to detect when they are fast again. */
 void
 RelayLoop::Impl::requestSlowReplicaReports()
 {
   for (const Replica& replica : this->view->replicas) {
-    if (this->health.slowdown(replica.id) > kSlow) {
+    if (this->health.slowdown(replica.id) > kSlowFactor) {
       this->requestReport(PathPart{ replica.id, replica.address, {} },
-                          kAskAllPause);
+                          kMinPathReportInterval);
     }
   }
 }
 
+/** Handles a replica's report, or its failure to report: updates the replica's
+ * health, and moves the work that is blocked on a stalled or lost replica. */
 void
 RelayLoop::Impl::onReport(const std::string& aReplica,
                           const ReplicaReport& aReport)
 {
   if (!aReport.reached && this->hasRecentProgress(aReplica)) {
-    // Too busy to answer in time, but its streams move: taking it for dead
-    // used up the attempts of all of them.
+    // The replica is too busy to report in time, but its streams make progress.
+    // Treating it as dead would use up an attempt of each of them.
     this->health.onPace(aReplica, kDegradedSlowdown);
     return;
   }
@@ -171,12 +183,12 @@
   const Replica* listed = this->replicaById(aReplica);
   if (listed != nullptr && listed->startedAtMs != 0 &&
       aReport.startedAtMs != 0 && listed->startedAtMs != aReport.startedAtMs) {
-    // It has started again, and the list does not tell yet.
+    // It has restarted, and the replica list does not show this yet.
     this->endIncarnation(aReplica);
     return;
   }
-  // What runs there goes on, slower: moving hundreds of streams at once would
-  // take the pipes between zones for longer than the slow part costs them.
+  // Work at a slow replica is not moved. Moving hundreds of streams at once
+  // would occupy the zone links for longer than the slow replica delays them.
   this->health.onPace(aReplica, aReport.pace);
   if (aReport.stalled.empty()) {
     this->requestPathReports(aReplica);
@@ -194,8 +206,8 @@
   }
 }
 
-/** Whether a stream that begins at this replica has moved since it was asked.
- */
+/** Returns whether a stream of this first replica has made progress since the
+ * last report request. */
 bool
 RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
