--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -1,4 +1,4 @@
-// Requests that wait for memory of replicas, or for another path.
+// Requests that wait for replica memory, or for another path.
 
 #include <algorithm>
 
@@ -7,24 +7,25 @@
 namespace poplartrack {
 namespace {
 
-/** A started stream whose replica was lost waits this long for another path;
- * callers give a silent stream up after two seconds. */
-constexpr Duration kResumePatience = std::chrono::milliseconds{ 1'500 };
+/** Maximum wait of a started stream for another path after its replica was
+ * lost. Callers give up a stream without events after 2 s. */
+constexpr Duration kMaxResumeWait = std::chrono::milliseconds{ 1'500 };
 
-/** A request for which no path has memory waits this long, or twice its
- * objective, at most: callers leave a stream without an event after four
- * objectives, and its prompt has to be read yet. Refused sooner, callers come
- * back once, late, and are refused again. */
-constexpr Duration kQueuePatience = std::chrono::milliseconds{ 1'200 };
+/** Maximum wait of a request for a path with enough memory; twice the latency
+ * objective if that is shorter. Callers give up a stream without an event after
+ * four objectives, and the prefill is still to come. Callers rejected sooner
+ * retry once, too late, and are rejected again. */
+constexpr Duration kMaxQueueWait = std::chrono::milliseconds{ 1'200 };
 
 } // namespace
 
+/** Describes the request to the wait queue. */
 Waiter
 RelayLoop::Impl::waiterOf(const Exchange& aExchange) const
 {
-  // Its prompt has to be read yet, which takes about half of the objective
-  // where replicas are busy.
-  constexpr int kReadingPart = 2;
+  // The prefill that is still to come takes about half of the objective at busy
+  // replicas.
+  constexpr int kPrefillDivisor = 2;
   Waiter waiter;
   waiter.request = aExchange.id;
   waiter.service = aExchange.service == nullptr ? "" : aExchange.service->name;
@@ -32,12 +33,12 @@
   waiter.urgency = urgencyOf(aExchange);
   waiter.tokens = aExchange.need.prompt + aExchange.need.answer;
   waiter.onTimeUntil =
-    aExchange.arrived + aExchange.route->objective / kReadingPart;
+    aExchange.arrived + aExchange.route->objective / kPrefillDivisor;
   return waiter;
 }
 
-/** Chooses where the next attempt goes, unless one that needs no more has just
- * been told that there is nothing. */
+/** Chooses the target of the next attempt. Skips the search for a path if it
+ * has failed in this round for a request that needs no more memory. */
 Result<AttemptTarget>
 RelayLoop::Impl::chooseQueued(Exchange& aExchange)
 {
@@ -60,6 +61,8 @@
   return target;
 }
 
+/** Starts a round: forgets which searches have failed, since memory may have
+ * become free. */
 void
 RelayLoop::Impl::beginDispatchRound()
 {
@@ -67,7 +70,7 @@
   this->roundAt = this->now;
 }
 
-/** Tries those again that wait for memory. */
+/** Tries to dispatch the requests that wait for memory. */
 void
 RelayLoop::Impl::dispatchWaiting()
 {
@@ -83,12 +86,13 @@
   }
 }
 
-/** Whether a request without a path waits for one, a little longer. */
+/** Returns whether a request without a path may wait for one a little longer.
+ * Starts its wait if needed. */
 bool
 RelayLoop::Impl::mayKeepWaiting(Exchange& aExchange, ErrorKind aReason)
 {
-  // The caller of a started stream has part of it. One that has nothing yet
-  // waits for memory that other answers free.
+  // A started stream waits whatever the reason, since its caller has a part of
+  // it. Other requests wait only for memory, which other answers will free.
   const bool started = aExchange.answering;
   if (!started && aReason != ErrorKind::Overloaded) {
     return false;
@@ -96,10 +100,10 @@
   if (!aExchange.waitingSince) {
     aExchange.waitingSince = this->now;
   }
-  const Duration patience =
-    started ? kResumePatience
-            : std::min(kQueuePatience, aExchange.route->objective * 2);
-  return this->now - *aExchange.waitingSince < patience;
+  const Duration maxWait =
+    started ? kMaxResumeWait
+            : std::min(kMaxQueueWait, aExchange.route->objective * 2);
+  return this->now - *aExchange.waitingSince < maxWait;
 }
 
 } // namespace poplartrack
--- a/src/relay/RetryAdvice.cpp
+++ b/src/relay/RetryAdvice.cpp
@@ -5,43 +5,45 @@
 namespace poplartrack {
 namespace {
 
-/** From when on a caller may come back, and over which time they spread. */
-struct Window
+/** Range of the delays between which the retries of callers are spread. */
+struct DelayRange
 {
-  Duration least;
-  Duration spread;
+  Duration min;
+  /** Length of the range. */
+  Duration jitter;
 };
 
-/** Only this relay cannot serve: it stops, starts or is cut off. Another one
- * can at once, and the answer may still be on time. */
-constexpr Window kElsewhere{ std::chrono::milliseconds{ 20 },
-                             std::chrono::milliseconds{ 150 } };
+/** Only this relay cannot serve, since it stops, starts or is cut off. Another
+ * one can serve at once, and the answer may still be on time. */
+constexpr DelayRange kOtherRelayServes{ std::chrono::milliseconds{ 20 },
+                                        std::chrono::milliseconds{ 150 } };
 
-/** A replica that crashed is back after three to five seconds, and what nobody
- * else can hold is loaded again two to four seconds later. A caller has one
- * return: before that time it is refused again. The answer is late in either
- * case. */
-constexpr Window kCrowded{ std::chrono::milliseconds{ 2'500 },
-                           std::chrono::milliseconds{ 3'500 } };
+/** Replicas lack capacity. A crashed replica restarts after three to five
+ * seconds, and layers that no other replica can hold are loaded two to four
+ * seconds later. A caller that uses its one retry earlier is rejected again;
+ * its answer is late in either case. */
+constexpr DelayRange kCapacityMissing{ std::chrono::milliseconds{ 2'500 },
+                                       std::chrono::milliseconds{ 3'500 } };
 
-/** Nobody can tell which keys hold: the store has been away for all for four
- * seconds, and is away for five to nine as a rule. */
-constexpr Window kBlind{ std::chrono::milliseconds{ 3'000 },
-                         std::chrono::milliseconds{ 3'000 } };
+/** No relay can tell which keys are valid: the store has been unavailable to
+ * all for four seconds, and usually is for five to nine. */
+constexpr DelayRange kStoreUnavailable{ std::chrono::milliseconds{ 3'000 },
+                                        std::chrono::milliseconds{ 3'000 } };
 
-/** Callers wait for this part of their time at most. */
-constexpr int kPartOfTime = 3;
+/** Callers wait for at most the remaining time divided by this. */
+constexpr int kMaxDelayDivisor = 3;
 
-Window
-windowOf(const RefusalState& aState)
+/** Returns the range of delays for the reason of a rejection. */
+DelayRange
+rangeFor(const RefusalState& aState)
 {
   switch (aState.kind) {
     case ErrorKind::Draining:
-      return kElsewhere;
+      return kOtherRelayServes;
     case ErrorKind::NoConfiguration:
-      return aState.othersServe ? kElsewhere : kBlind;
+      return aState.othersServe ? kOtherRelayServes : kStoreUnavailable;
     default:
-      return kCrowded;
+      return kCapacityMissing;
   }
 }
 
@@ -53,22 +55,22 @@
   if (aState.kind == ErrorKind::Quarantined) {
     return aState.quarantineLeft;
   }
-  const Window window = windowOf(aState);
-  const Duration most = aState.timeLeft / kPartOfTime;
-  // A caller with little time gets the same spread in less of it.
-  const Duration whole = window.least + window.spread;
-  const auto part = static_cast<double>(aState.jitterSeed % 1'000) / 1'000;
-  const auto asked = window.least + Duration{
-    static_cast<std::int64_t>(part * static_cast<double>(window.spread.count()))
-  };
-  if (whole <= most) {
-    return asked;
+  const DelayRange range = rangeFor(aState);
+  const Duration maxDelay = aState.timeLeft / kMaxDelayDivisor;
+  // For a caller with little time the whole range is scaled down.
+  const Duration rangeEnd = range.min + range.jitter;
+  const auto fraction = static_cast<double>(aState.jitterSeed % 1'000) / 1'000;
+  const auto delay =
+    range.min + Duration{ static_cast<std::int64_t>(
+                  fraction * static_cast<double>(range.jitter.count())) };
+  if (rangeEnd <= maxDelay) {
+    return delay;
   }
   const double scale =
-    static_cast<double>(std::max(most, Duration{ 0 }).count()) /
-    static_cast<double>(whole.count());
+    static_cast<double>(std::max(maxDelay, Duration{ 0 }).count()) /
+    static_cast<double>(rangeEnd.count());
   return Duration{ static_cast<std::int64_t>(
-    scale * static_cast<double>(asked.count())) };
+    scale * static_cast<double>(delay.count())) };
 }
 
 } // namespace poplartrack
--- a/src/relay/RetryAdvice.h
+++ b/src/relay/RetryAdvice.h
@@ -7,25 +7,26 @@
 
 namespace poplartrack {
 
-/** What is known when a request is refused that has not run. */
+/** What a relay knows about a rejected request that has not run. */
 struct RefusalState
 {
   ErrorKind kind = ErrorKind::Overloaded;
-  /** Other relays are heard that know the newest configuration. */
+  /** Another relay recently proved that its configuration is the newest. */
   bool othersServe = false;
-  /** Until the caller's deadline or the route's timeout. */
+  /** Time until the caller's deadline or the route's timeout. */
   Duration timeLeft{ 0 };
-  /** Spreads callers that were refused together; the same for one request. */
+  /** Determines the jitter, which spreads callers that were rejected together.
+   * The same request always gets the same value. */
   std::uint64_t jitterSeed = 0;
-  /** How long what it is refused for is known to last; 0: not known. */
+  /** For requests in quarantine: how long that lasts; 0: unknown. */
   Duration quarantineLeft{ 0 };
 };
 
 /**
- * When a caller that was refused should come back. Where the reason is known
- * to last, then. Callers come back once or
- * twice, through another relay as a rule, and wait for a third of their time at
- * most; a second refusal is their last.
+ * Returns the delay after which a rejected caller should retry (Retry-After).
+ * For a request in quarantine this is the rest of the quarantine. Callers retry
+ * once or twice, usually through another relay, and wait for at most a third of
+ * their remaining time. After a second rejection they give up.
  */
 Duration
 retryAdvice(const RefusalState& aState);
--- a/tests/unit/relay/RetryAdviceTest.cpp
+++ b/tests/unit/relay/RetryAdviceTest.cpp
@@ -16,49 +16,49 @@
   return RefusalState{ aKind, aOthersServe, aTimeLeft, 500 };
 }
 
-TEST(RetryAdvice, AStoppingRelaySendsCallersElsewhereAtOnce)
+TEST(RetryAdvice, ADrainingRelayAdvisesAnImmediateRetry)
 {
   // The answer through another relay can still be on time.
   EXPECT_LT(retryAdvice(stateOf(ErrorKind::Draining, false, seconds{ 20 })),
             milliseconds{ 200 });
 }
 
-TEST(RetryAdvice, ACutOffRelaySendsCallersToThoseThatServe)
+TEST(RetryAdvice, ACutOffRelayAdvisesAnImmediateRetryWhileOthersServe)
 {
   EXPECT_LT(
     retryAdvice(stateOf(ErrorKind::NoConfiguration, true, seconds{ 20 })),
     milliseconds{ 200 });
 }
 
-TEST(RetryAdvice, AnOutageForAllIsWaitedFor)
+TEST(RetryAdvice, AStoreOutageForAllAdvisesALongDelay)
 {
-  // The store is away for every relay. A caller that came back within a second
-  // would be refused for the last time.
+  // The store is unavailable to every relay. A caller that retried within a
+  // second would be rejected again and give up.
   EXPECT_GT(
     retryAdvice(stateOf(ErrorKind::NoConfiguration, false, seconds{ 20 })),
     seconds{ 2 });
 }
 
-TEST(RetryAdvice, ACallerWithOneReturnSpendsItWhenLostPartsAreBack)
+TEST(RetryAdvice, RetriesComeMostlyAfterLostCapacityIsRestored)
 {
-  // A zone has lost what only one replica could hold. That one is back after 3
-  // s and has loaded its layers 2 s later. Callers refused for want of memory
-  // have one return: at least half of them come back to a zone that is whole.
-  const auto at = [](std::uint64_t aSpread) {
+  // A zone has lost layers that only one replica can hold. The replica restarts
+  // after 3 s and has loaded its layers 2 s later. Callers rejected for lack of
+  // memory retry once: at least half of them retry after the layers are back.
+  const auto delayFor = [](std::uint64_t aSpread) {
     return retryAdvice(
       RefusalState{ ErrorKind::Overloaded, true, seconds{ 20 }, aSpread });
   };
   int inTime = 0;
   for (std::uint64_t spread = 0; spread < 1'000; spread += 10) {
-    // Refused at any moment of the 5 s of the loss.
+    // Rejections are spread evenly over the 5 s of the loss.
     const Duration refusedAt = milliseconds{ 5 * spread };
-    inTime += refusedAt + at(spread * 7 % 1'000) >= seconds{ 5 } ? 1 : 0;
+    inTime += refusedAt + delayFor(spread * 7 % 1'000) >= seconds{ 5 } ? 1 : 0;
   }
   EXPECT_GE(inTime, 50);
 }
 
 RC_GTEST_PROP(RetryAdvice,
-              NeverAsksForMoreThanAThirdOfTheTimeAndSpreads,
+              DelaysAreAtMostAThirdOfTheTimeAndSpread,
               (std::uint64_t aOne, std::uint64_t aOther))
 {
   const Duration left = milliseconds{ 1 + aOne % 30'000 };
@@ -66,17 +66,18 @@
                                 ErrorKind::NoConfiguration,
                                 ErrorKind::Overloaded,
                                 ErrorKind::NoRoute }) {
-    const auto at = [&](std::uint64_t aSpread) {
+    const auto delayFor = [&](std::uint64_t aSpread) {
       return retryAdvice(RefusalState{ kind, false, left, aSpread });
     };
-    RC_ASSERT(at(aOne) <= left / 3);
-    RC_ASSERT(at(aOne) >= Duration{ 0 });
-    RC_ASSERT((at(aOne) == at(aOther)) == (aOne % 1'000 == aOther % 1'000) ||
+    RC_ASSERT(delayFor(aOne) <= left / 3);
+    RC_ASSERT(delayFor(aOne) >= Duration{ 0 });
+    RC_ASSERT((delayFor(aOne) == delayFor(aOther)) ==
+                (aOne % 1'000 == aOther % 1'000) ||
               left < milliseconds{ 600 });
   }
 }
 
-TEST(RetryAdvice, AQuarantineSaysHowLongItLasts)
+TEST(RetryAdvice, AQuarantineAdvisesItsRemainingTime)
 {
   RefusalState state;
   state.kind = ErrorKind::Quarantined;
