--- a/tests/unit/relay/RelayCrashTest.cpp
+++ b/tests/unit/relay/RelayCrashTest.cpp
@@ -1,4 +1,4 @@
-// Requests under which replicas end.
+// Requests that crash replicas, and their quarantine.
 
 #include <atomic>
 #include <mutex>
@@ -12,17 +12,17 @@
 
 using namespace relaytest;
 
-/** What the users allow: replicas that end under a request before it is known
- * for that, and times that it is sent to one afterwards. */
-constexpr int kMostEnds = 3;
-constexpr int kMostSentAfter = 3;
+/** Bounds that the system guarantees: replicas that one request crashes before
+ * it is detected, and the number of times that it is sent afterwards. */
+constexpr int kMaxCrashes = 3;
+constexpr int kMaxSentAfter = 3;
 
-/** Replicas of a plain service, each of which ends when it begins to run a
- * request. The list tells that it has ended before the next request comes. */
-class EndingReplicas
+/** Replicas of a plain service, each of which crashes when it begins to run a
+ * request. publish() removes the crashed ones from the replica list. */
+class CrashingReplicas
 {
 public:
-  explicit EndingReplicas(std::vector<RelayWorld*> aWorlds)
+  explicit CrashingReplicas(std::vector<RelayWorld*> aWorlds)
     : worlds(std::move(aWorlds))
   {
     constexpr int kReplicas = 40;
@@ -33,25 +33,25 @@
       }
     }
   }
-  EndingReplicas(const EndingReplicas&) = delete;
-  EndingReplicas& operator=(const EndingReplicas&) = delete;
+  CrashingReplicas(const CrashingReplicas&) = delete;
+  CrashingReplicas& operator=(const CrashingReplicas&) = delete;
 
   void start()
   {
     this->loop.start([this](RawSocket& aConnection) {
       const std::string head = aConnection.readUntil("\r\n\r\n");
       const std::scoped_lock lock{ this->guard };
-      this->ended.push_back(fieldIn(head, "X-Expect"));
+      this->crashed.push_back(fieldIn(head, "X-Expect"));
       ++this->runs;
     });
   }
-  /** Takes those that have ended off the list of all relays. */
+  /** Removes the crashed replicas from the list of each relay. */
   void publish()
   {
     const std::scoped_lock lock{ this->guard };
     ++this->version;
     for (RelayWorld* world : this->worlds) {
-      for (const std::string& replica : this->ended) {
+      for (const std::string& replica : this->crashed) {
         world->replicas.erase(replica);
       }
       world->publishReplicas(this->version);
@@ -63,14 +63,14 @@
 private:
   std::vector<RelayWorld*> worlds;
   std::mutex guard;
-  std::vector<std::string> ended;
+  std::vector<std::string> crashed;
   std::uint64_t version = 1;
   std::atomic<int> runs{ 0 };
-  // Last: its thread uses all the above.
+  // Declared last, since its thread uses the other members.
   AcceptLoop loop;
 };
 
-/** Sends the same content under another id; returns the head of the answer. */
+/** Sends the same content under another id and returns the answer. */
 std::string
 callOnce(const RelayWorld& aWorld, int aNumber)
 {
@@ -79,10 +79,10 @@
   return caller.readUntil("}\n");
 }
 
-TEST(RelayCrash, ARequestUnderWhichReplicasEndIsNotSentOnAndOn)
+TEST(RelayCrash, ARequestThatCrashesReplicasIsQuarantined)
 {
   RelayWorld world;
-  EndingReplicas replicas{ { &world } };
+  CrashingReplicas replicas{ { &world } };
   world.start();
   replicas.start();
   std::string answer;
@@ -91,40 +91,40 @@
     answer = callOnce(world, i);
     replicas.publish();
   }
-  EXPECT_LE(replicas.sent(), kMostEnds + kMostSentAfter);
+  EXPECT_LE(replicas.sent(), kMaxCrashes + kMaxSentAfter);
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 ")) << answer;
 }
 
-TEST(RelayCrash, WhatEndedReplicasAtOneRelayIsNotSentOnByAnother)
+TEST(RelayCrash, ARequestQuarantinedAtOneRelayIsNotSentByAnother)
 {
   RelayWorld first;
   RelayWorld second;
-  EndingReplicas replicas{ { &first, &second } };
+  CrashingReplicas replicas{ { &first, &second } };
   first.start();
   second.start();
   first.shared.peers.replace(std::make_shared<const std::vector<Address>>(
     std::vector<Address>{ second.loop->peersAddress() }));
   replicas.start();
-  for (int i = 0; i < kMostEnds; ++i) {
+  for (int i = 0; i < kMaxCrashes; ++i) {
     callOnce(first, i);
     replicas.publish();
   }
-  // Its first word after that tells the latest version of the list.
-  const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
+  // A status message with the latest list version also reports the quarantine.
+  const TimePoint waitUntil = runtimeNow() + std::chrono::seconds{ 60 };
   while (second.shared.peerListVersion < replicas.listVersion() &&
-         runtimeNow() < latest) {
+         runtimeNow() < waitUntil) {
     std::this_thread::yield();
   }
   ASSERT_EQ(second.shared.peerListVersion, replicas.listVersion());
   constexpr int kCalls = 10;
   for (int i = 0; i < kCalls; ++i) {
-    callOnce(second, kMostEnds + i);
+    callOnce(second, kMaxCrashes + i);
     replicas.publish();
   }
-  EXPECT_LE(replicas.sent(), kMostEnds + kMostSentAfter);
+  EXPECT_LE(replicas.sent(), kMaxCrashes + kMaxSentAfter);
 }
 
-TEST(RelayCrash, ABrokenAnswerOfAReplicaThatLivesIsNoCrash)
+TEST(RelayCrash, ABrokenAnswerOfALiveReplicaIsNoCrash)
 {
   RelayWorld world;
   RawListener listener;
@@ -148,7 +148,7 @@
   EXPECT_TRUE(caller.readUntil("whole").starts_with("HTTP/1.1 200 "));
 }
 
-TEST(RelayCrash, WhatTheStoreKeepsInQuarantineIsRefusedAtOnce)
+TEST(RelayCrash, ARequestQuarantinedInTheStoreIsRejectedAtOnce)
 {
   RelayWorld world;
   RawListener listener;
@@ -158,8 +158,8 @@
   world.shared.quarantineStored.replace(
     std::make_shared<const std::vector<Fingerprint>>(1, content));
   world.start();
-  const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (world.shared.quarantine.read()->empty() && runtimeNow() < latest) {
+  const TimePoint waitUntil = runtimeNow() + std::chrono::seconds{ 60 };
+  while (world.shared.quarantine.read()->empty() && runtimeNow() < waitUntil) {
     std::this_thread::yield();
   }
   ASSERT_FALSE(world.shared.quarantine.read()->empty());
@@ -174,9 +174,10 @@
   EXPECT_TRUE(caller.readUntil("whole").starts_with("HTTP/1.1 200 "));
 }
 
-TEST(RelayCrash, ReplicasThatLeaveAreNoCrash)
+TEST(RelayCrash, ExitsOfDrainingReplicasAreNoCrashes)
 {
-  // A lookup refused as quarantined after a release of its two replicas.
+  // Guards against a quarantine of a request whose connections broke off
+  // because its two replicas were drained and exited as planned in a release.
   RelayWorld world;
   RawListener leaving;
   RawListener staying;
@@ -196,7 +197,7 @@
   world.replicas["one"].draining = true;
   world.replicas["two"].draining = true;
   world.publishReplicas(2);
-  // A request that comes now is admitted with the latest list.
+  // Any request makes the relay take over the latest list.
   RawSocket other = world.callerOf("/unknown/", "id-8");
   EXPECT_NE(other.readUntil("}\n").find("404"), std::string::npos);
   for (int i = 0; i < 2; ++i) {
@@ -213,10 +214,10 @@
   EXPECT_TRUE(caller.readUntil("whole").starts_with("HTTP/1.1 200 "));
 }
 
-TEST(RelayCrash, ALookupThatIsServedElsewhereMeanwhileIsServedOn)
+TEST(RelayCrash, ARequestServedElsewhereMeanwhileIsNotQuarantined)
 {
-  // A popular lookup quarantined since two of three replicas crashed by
-  // themselves.
+  // Guards against a quarantine of a frequent request that was in flight at two
+  // of three replicas when these crashed for another reason.
   RelayWorld world;
   RawListener crashing;
   RawListener staying;
--- a/tests/unit/relay/RelayLimitTest.cpp
+++ b/tests/unit/relay/RelayLimitTest.cpp
@@ -1,4 +1,4 @@
-// Replicas that limit how many requests a second they take from all relays.
+// Rate limits that replicas state for the requests of all relays together.
 
 #include <atomic>
 #include <cmath>
@@ -12,19 +12,20 @@
 
 using namespace relaytest;
 
-/** What a replica that names a limit may get in any four seconds: half as much
- * again as the limit allows, and five. */
+/** The window of the bound on requests: in any four seconds, a replica receives
+ * at most 1.5 times what its rate limit allows, plus five. */
 constexpr int kWindowSeconds = 4;
 
+/** Returns the maximum number of requests in this time under a rate limit. */
 double
-mostIn(Duration aTime, double aLimit)
+maxRequestsIn(Duration aTime, double aLimit)
 {
   const double seconds = std::chrono::duration<double>(aTime).count();
   const double windows = std::floor(seconds / kWindowSeconds) + 1;
   return windows * (1.5 * kWindowSeconds * aLimit + 5);
 }
 
-/** A replica that answers each request and names its limit. */
+/** A replica that answers each request and states its rate limit. */
 class LimitingReplica
 {
 public:
@@ -46,11 +47,11 @@
 
 private:
   std::atomic<int> count{ 0 };
-  // Last: its thread uses the count.
+  // Declared last, since its thread uses the count.
   AcceptLoop loop;
 };
 
-/** A caller that waits for a short while. */
+/** Sends a request with a short deadline and reads the answer. */
 void
 callOnce(const RelayWorld& aWorld, int aNumber)
 {
@@ -59,7 +60,7 @@
   caller.readUntil("}\n");
 }
 
-TEST(RelayLimit, AReplicaThatNamesALimitIsNotSentMore)
+TEST(RelayLimit, ARelayKeepsToAReplicasLimit)
 {
   LimitingReplica replica{ "0.5" };
   RelayWorld world;
@@ -72,7 +73,8 @@
   for (int i = 1; i <= kCalls; ++i) {
     callOnce(world, i);
   }
-  EXPECT_LE(replica.requests() - before, mostIn(runtimeNow() - start, 0.5));
+  EXPECT_LE(replica.requests() - before,
+            maxRequestsIn(runtimeNow() - start, 0.5));
 }
 
 TEST(RelayLimit, AllRelaysTogetherKeepToAReplicasLimit)
@@ -84,21 +86,21 @@
     world->addReplica("one", "plain", replica.address());
     world->start();
   }
-  const auto tell = [](RelayWorld& aFrom, const RelayWorld& aTo) {
+  const auto addPeer = [](RelayWorld& aFrom, const RelayWorld& aTo) {
     aFrom.shared.peers.replace(std::make_shared<const std::vector<Address>>(
       std::vector<Address>{ aTo.loop->peersAddress() }));
   };
-  tell(first, second);
-  tell(second, first);
+  addPeer(first, second);
+  addPeer(second, first);
   callOnce(first, 0);
   callOnce(second, 1);
-  // Words with a new list's version come after what was learned before it.
+  // A status message with the new list version also reports the limit.
   first.publishReplicas(7);
   second.publishReplicas(7);
-  const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
+  const TimePoint waitUntil = runtimeNow() + std::chrono::seconds{ 60 };
   while (
     (second.shared.peerListVersion < 7 || first.shared.peerListVersion < 7) &&
-    runtimeNow() < latest) {
+    runtimeNow() < waitUntil) {
     std::this_thread::yield();
   }
   const int before = replica.requests();
@@ -108,7 +110,8 @@
     callOnce(first, 2 * i);
     callOnce(second, 2 * i + 1);
   }
-  EXPECT_LE(replica.requests() - before, mostIn(runtimeNow() - start, 2));
+  EXPECT_LE(replica.requests() - before,
+            maxRequestsIn(runtimeNow() - start, 2));
 }
 
 } // namespace
