--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -80,6 +80,9 @@
   return text;
 }
 
+/** Handles the head of an answer. Retries a request that was not executed, and
+ * one whose successful answer lacks the stamp that proves that a replica sent
+ * it. */
 void
 RelayLoop::Impl::onAnswerHead(Exchange& aExchange,
                               ReplicaConnection& aConnection)
@@ -102,6 +105,8 @@
   }
 }
 
+/** Forwards the part of a stream that has been received. Other answers are
+ * forwarded whole, by onAnswerDone. */
 void
 RelayLoop::Impl::onAnswerBody(Exchange& aExchange,
                               ReplicaConnection& aConnection)
@@ -174,13 +179,13 @@
   if (!aExchange.repairedAt) {
     return;
   }
-  const Duration took = this->now - *aExchange.repairedAt;
+  const Duration duration = this->now - *aExchange.repairedAt;
   aExchange.repairedAt.reset();
   constexpr std::int64_t kMicrosPerMs = 1000;
-  this->shared.metrics.observe("repair_seconds", took);
+  this->shared.metrics.observe("repair_seconds", duration);
   this->shared.log.write(LogLine{ LogPart::Path, "moves_again" }
                            .with("id", aExchange.requestId)
-                           .with("after_ms", took.count() / kMicrosPerMs));
+                           .with("after_ms", duration.count() / kMicrosPerMs));
 }
 
 /** Handles the end of an answer: retries a server error (5xx) of an idempotent
@@ -246,6 +251,7 @@
   }
 }
 
+/** Sends an answer that is no stream to the caller. */
 void
 RelayLoop::Impl::forwardWholeAnswer(Exchange& aExchange,
                                     const MessageHead& aHead,
@@ -266,7 +272,8 @@
 }
 
 /** Handles an answer by which the replica, or another one on its path, states
- * that it did not execute the request. The request is sent again elsewhere. */
+ * that it did not execute the request. The request is sent again
+ * elsewhere, up to the maximum number of attempts. */
 void
 RelayLoop::Impl::onNotExecuted(Exchange& aExchange, const MessageHead& aHead)
 {
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -70,20 +70,20 @@
 RelayLoop::Impl::pickService(const Exchange& aExchange) const
 {
   const RelayRoute& route = *aExchange.route;
-  std::uint64_t sum = 0;
+  std::uint64_t totalWeight = 0;
   for (const RouteTarget& target : route.targets) {
-    sum += target.weight;
+    totalWeight += target.weight;
   }
-  if (sum == 0) {
+  if (totalWeight == 0) {
     return nullptr;
   }
-  std::uint64_t point =
-    std::hash<std::string_view>{}(aExchange.requestId) % sum;
+  std::uint64_t position =
+    std::hash<std::string_view>{}(aExchange.requestId) % totalWeight;
   for (const RouteTarget& target : route.targets) {
-    if (point < target.weight) {
+    if (position < target.weight) {
       return aExchange.config->service(target.service);
     }
-    point -= target.weight;
+    position -= target.weight;
   }
   return nullptr;
 }
@@ -203,8 +203,8 @@
                   this->reports.slowdown(aReplica));
 }
 
-/** Returns whether a replica has restarted, or is certainly lost by the reports
- * of all known relays. */
+/** Returns whether a replica has restarted, or is certainly lost according to
+ * this relay and its peers. */
 bool
 RelayLoop::Impl::isLost(const std::string& aReplica) const
 {
@@ -224,8 +224,8 @@
   if (listed == this->view->byService.end()) {
     return candidates;
   }
-  for (const std::size_t place : listed->second) {
-    const Replica& replica = this->view->replicas[place];
+  for (const std::size_t index : listed->second) {
+    const Replica& replica = this->view->replicas[index];
     if (this->isDraining(replica) || this->isLost(replica.id) ||
         !this->health.usable(replica.id, this->now)) {
       continue;
@@ -250,13 +250,14 @@
   if (engine.linkMbps > 0) {
     // Relays that this one doesn't receive reports from use the links too.
     // Their share of the capacity is left to them.
-    const auto reporting = static_cast<double>(this->knownPeers.size() + 1);
-    const auto listed =
+    const auto reportingRelays =
+      static_cast<double>(this->knownPeers.size() + 1);
+    const auto listedRelays =
       static_cast<double>(this->shared.peers.read()->size() + 1);
     const double share =
       crossesSteadily(engine) ? kFastLinkShare : kSlowLinkShare;
     this->links.setRate(share * engine.linkMbps * kBytesPerMegabit *
-                        std::min(reporting / listed, 1.0));
+                        std::min(reportingRelays / listedRelays, 1.0));
     aDemand.closed = this->links.closed(this->now);
     aDemand.waits = this->links.waits(this->now);
     if (!aDemand.started) {
@@ -321,8 +322,8 @@
   }
   std::vector<PlainCandidate> candidates;
   bool limited = false;
-  for (const std::size_t place : listed->second) {
-    const Replica& replica = this->view->replicas[place];
+  for (const std::size_t index : listed->second) {
+    const Replica& replica = this->view->replicas[index];
     if (this->isDraining(replica)) {
       continue;
     }
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -31,9 +31,9 @@
   return static_cast<std::int64_t>(aPerSecond * kMilli);
 }
 
-/** Records the rate limit that the replica's answer states, or that it states
- * none. Only a successful answer without the header ends a limit, since errors
- * and refusals may lack it. */
+/** Records the rate limit that the replica's answer states, or that there is
+ * none. An answer without the header ends a limit only if it is a success,
+ * since errors and refusals may lack the header while the limit holds. */
 void
 RelayLoop::Impl::recordRateLimit(Exchange& aExchange, const MessageHead& aHead)
 {
@@ -48,8 +48,8 @@
                                  : "answers_with_unreadable_limit_total");
   }
   const Replica* replica = this->replicaById(aExchange.replica);
-  const bool statesLimit = field ? aExchange.namedLimit.has_value() : success;
-  if (replica == nullptr || !statesLimit ||
+  const bool isConclusive = field ? aExchange.namedLimit.has_value() : success;
+  if (replica == nullptr || !isConclusive ||
       !this->replicaLimits.onAnswer(
         replica->id, replica->zone, aExchange.namedLimit, this->now)) {
     return;
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -29,8 +29,8 @@
 constexpr Duration kMoveRetryDelay = std::chrono::milliseconds{ 150 };
 
 /** Minimum time between two report requests to a stalled stream's first
- * replica. One report serves all its streams. A report may be 200 ms old, so
- * the next one may show a stall that the first one doesn't. */
+ * replica. One report serves all its streams. A report is up to 200 ms old,
+ * so the next one may show a stall that the first one doesn't. */
 constexpr Duration kMinReportInterval = std::chrono::milliseconds{ 90 };
 
 /** The same for the other replicas of a stalled stream's path, and for slow
@@ -106,9 +106,9 @@
   } else {
     this->requestReport(aExchange.path.parts.front(), kMinReportInterval);
   }
-  const auto still = this->exchanges.find(id);
-  if (still != this->exchanges.end() && still->second->connection != 0) {
-    this->armExchange(*still->second);
+  const auto entry = this->exchanges.find(id);
+  if (entry != this->exchanges.end() && entry->second->connection != 0) {
+    this->armExchange(*entry->second);
   }
 }
 
@@ -117,9 +117,9 @@
 void
 RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aMinInterval)
 {
-  const auto asked = this->askedAt.find(aPart.replica);
-  if (asked != this->askedAt.end() &&
-      this->now - asked->second < aMinInterval) {
+  const auto lastRequest = this->askedAt.find(aPart.replica);
+  if (lastRequest != this->askedAt.end() &&
+      this->now - lastRequest->second < aMinInterval) {
     return;
   }
   this->askedAt[aPart.replica] = this->now;
@@ -211,15 +211,15 @@
 bool
 RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
-  const auto asked = this->askedAt.find(aReplica);
-  return asked != this->askedAt.end() &&
+  const auto lastRequest = this->askedAt.find(aReplica);
+  return lastRequest != this->askedAt.end() &&
          std::any_of(this->exchanges.begin(),
                      this->exchanges.end(),
                      [&](const auto& aEntry) {
                        const Exchange& exchange = *aEntry.second;
                        return exchange.replica == aReplica &&
                               exchange.connection != 0 && exchange.events > 0 &&
-                              exchange.lastProgress > asked->second;
+                              exchange.lastProgress > lastRequest->second;
                      });
 }
 
--- a/tests/unit/relay/RelayCrashTest.cpp
+++ b/tests/unit/relay/RelayCrashTest.cpp
@@ -226,12 +226,12 @@
   world.addReplica("three", "plain", staying.address());
   world.replicas["three"].zone = "b";
   world.start();
-  RawSocket unlucky = world.callerOf("/again/x", "id-0", "", "content");
+  RawSocket failedCaller = world.callerOf("/again/x", "id-0", "", "content");
   for (int attempt = 0; attempt < 2; ++attempt) {
     RawSocket replica = crashing.accept();
     replica.readUntil("content");
   }
-  EXPECT_TRUE(unlucky.readUntil("}\n").starts_with("HTTP/1.1 502 "));
+  EXPECT_TRUE(failedCaller.readUntil("}\n").starts_with("HTTP/1.1 502 "));
   for (int i = 1; i < 3; ++i) {
     const std::string id = "id-" + std::to_string(i);
     RawSocket caller = world.callerOf("/again/x", id, "", "content");
