--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -1,4 +1,5 @@
-// What replicas answer, and how it reaches the caller.
+// Answers of replicas: forwarding them to the caller, and retrying attempts
+// that were refused or failed.
 
 #include <algorithm>
 #include <array>
@@ -10,31 +11,31 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kMultiple = 300;
-constexpr int kMisdirected = 421;
+constexpr int kMultipleChoices = 300;
+constexpr int kMisdirectedRequest = 421;
 constexpr int kInternalError = 500;
 
-/** Attempts for one request, those that were refused included. */
-constexpr int kMostSends = 4;
+/** Maximum number of attempts for one request, including refused ones. */
+constexpr int kMaxSends = 4;
 
-/** ... and for a stream of which the caller has part. When a zone is lost,
- * several copies are short of memory at once, and each refuses. */
-constexpr int kMostStreamSends = 8;
+/** The same for a stream of which the caller has received a part. When a zone
+ * is lost, several replicas run out of memory at once, and each refuses the
+ * stream. */
+constexpr int kMaxStreamSends = 8;
 
 bool
 maySendAgain(const Exchange& aExchange)
 {
-  return aExchange.sends <
-         (aExchange.answering ? kMostStreamSends : kMostSends);
+  return aExchange.sends < (aExchange.answering ? kMaxStreamSends : kMaxSends);
 }
 
 bool
 isSuccess(int aStatus)
 {
-  return aStatus >= kOk && aStatus < kMultiple;
+  return aStatus >= kOk && aStatus < kMultipleChoices;
 }
 
-/** One chunk of a body of unknown length. */
+/** Formats one chunk of a chunked body. */
 std::string
 chunkOf(std::string_view aBytes)
 {
@@ -49,6 +50,9 @@
 
 } // namespace
 
+/** Formats the head of the answer for the caller: the replica's without
+ * hop-by-hop fields, plus aFraming. The caller's connection is closed after the
+ * answer if the relay drains. */
 std::string
 RelayLoop::Impl::answerHead(const Exchange& aExchange,
                             const MessageHead& aHead,
@@ -76,21 +80,24 @@
   return text;
 }
 
+/** Handles the head of an answer. Retries a request that was not executed, and
+ * one whose successful answer lacks the stamp that proves that a replica sent
+ * it. */
 void
 RelayLoop::Impl::onAnswerHead(Exchange& aExchange,
                               ReplicaConnection& aConnection)
 {
   const MessageHead& head = aConnection.parser->head();
-  this->noteLimit(aExchange, head);
-  const bool notRun = head.headers.find(this->names.notRun).has_value() ||
-                      head.status == kMisdirected;
-  if (notRun) {
-    this->onNotRun(aExchange, head);
+  this->recordRateLimit(aExchange, head);
+  const bool notExecuted = head.headers.find(this->names.notRun).has_value() ||
+                           head.status == kMisdirectedRequest;
+  if (notExecuted) {
+    this->onNotExecuted(aExchange, head);
     return;
   }
   const bool stamped = head.headers.find(this->names.stamp).has_value();
   if (isSuccess(head.status) && !stamped) {
-    this->onBroken(aExchange, ReplicaFailure::Faulty, "no stamp");
+    this->onAttemptFailed(aExchange, ReplicaFailure::Faulty, "no stamp");
     return;
   }
   if (isSuccess(head.status) && aExchange.route->rule == RetryRule::Stream) {
@@ -98,24 +105,28 @@
   }
 }
 
+/** Forwards the part of a stream that has been received. Other answers are
+ * forwarded whole, by onAnswerDone. */
 void
 RelayLoop::Impl::onAnswerBody(Exchange& aExchange,
                               ReplicaConnection& aConnection)
 {
   const int status = aConnection.parser->head().status;
   if (aExchange.streaming && isSuccess(status)) {
-    this->passEvents(aExchange, aConnection.parser->takeBody(), false);
+    this->forwardEvents(aExchange, aConnection.parser->takeBody(), false);
   }
 }
 
+/** Forwards the complete events among the bytes to the caller; the first ones
+ * with the head of the answer. With aEnd, also ends the chunked body. */
 void
-RelayLoop::Impl::passEvents(Exchange& aExchange,
-                            const std::string& aBytes,
-                            bool aEnd)
+RelayLoop::Impl::forwardEvents(Exchange& aExchange,
+                               const std::string& aBytes,
+                               bool aEnd)
 {
   std::string out;
   for (const StreamEvent& event : aExchange.splitter.feed(aBytes)) {
-    // A run that goes on elsewhere may begin with what the caller has.
+    // A resumed run may repeat events that the caller has already received.
     if (event.id && aExchange.lastEvent && *event.id <= *aExchange.lastEvent) {
       continue;
     }
@@ -148,7 +159,7 @@
       aExchange.runningSince = this->now;
     }
     this->endPrefill(aExchange);
-    this->noteRepaired(aExchange);
+    this->recordRepairTime(aExchange);
     text.append(chunkOf(out));
     aExchange.lastProgress = this->now;
     aExchange.asking = false;
@@ -161,22 +172,24 @@
   }
 }
 
-/** The first event after a repair tells how long it took. */
+/** Records the time from a repair to the first event after it. */
 void
-RelayLoop::Impl::noteRepaired(Exchange& aExchange)
+RelayLoop::Impl::recordRepairTime(Exchange& aExchange)
 {
   if (!aExchange.repairedAt) {
     return;
   }
-  const Duration took = this->now - *aExchange.repairedAt;
+  const Duration duration = this->now - *aExchange.repairedAt;
   aExchange.repairedAt.reset();
   constexpr std::int64_t kMicrosPerMs = 1000;
-  this->shared.metrics.observe("repair_seconds", took);
+  this->shared.metrics.observe("repair_seconds", duration);
   this->shared.log.write(LogLine{ LogPart::Path, "moves_again" }
                            .with("id", aExchange.requestId)
-                           .with("after_ms", took.count() / kMicrosPerMs));
+                           .with("after_ms", duration.count() / kMicrosPerMs));
 }
 
+/** Handles the end of an answer: retries a server error (5xx) of an idempotent
+ * request, else completes the answer to the caller. */
 void
 RelayLoop::Impl::onAnswerDone(std::uint64_t aExchange,
                               std::uint64_t aConnection)
@@ -192,12 +205,12 @@
   const bool stream = exchange.streaming && isSuccess(head.status);
   if (!isSuccess(head.status) && head.status >= kInternalError) {
     this->health.onFailure(exchange.replica, ReplicaFailure::Faulty, this->now);
-    const bool again =
+    const bool retry =
       exchange.route->rule == RetryRule::Idempotent &&
       exchange.runs + 1 < exchange.route->attempts &&
-      exchange.sends < kMostSends &&
+      exchange.sends < kMaxSends &&
       this->budgetOf(exchange).tryRetry(retryNeedOf(exchange), this->now);
-    if (again) {
+    if (retry) {
       this->shared.metrics.countRetry(RetryReason::ReplicaFailed);
       exchange.avoid.insert(exchange.replica);
       exchange.connection = 0;
@@ -211,21 +224,21 @@
     this->health.onSuccess(exchange.replica);
   }
   if (exchange.answering && !stream) {
-    // A resumed attempt failed after the stream's head had gone out.
-    this->onBroken(exchange, ReplicaFailure::Faulty, "resume refused");
+    // A resumed attempt failed after the head of the stream was sent.
+    this->onAttemptFailed(exchange, ReplicaFailure::Faulty, "resume refused");
     return;
   }
   const std::string body = connection.parser->takeBody();
   if (stream) {
-    this->passEvents(exchange, body, true);
+    this->forwardEvents(exchange, body, true);
   }
   if (isSuccess(head.status)) {
-    this->noteServed(exchange);
+    this->recordServed(exchange);
   }
   exchange.connection = 0;
   this->releaseReplica(connection);
   if (!stream) {
-    this->passWhole(exchange, head, body);
+    this->forwardWholeAnswer(exchange, head, body);
   }
   this->shared.metrics.count("answers_total");
   this->shared.metrics.observe("answer_seconds", this->now - exchange.arrived);
@@ -238,10 +251,11 @@
   }
 }
 
+/** Sends an answer that is no stream to the caller. */
 void
-RelayLoop::Impl::passWhole(Exchange& aExchange,
-                           const MessageHead& aHead,
-                           const std::string& aBody)
+RelayLoop::Impl::forwardWholeAnswer(Exchange& aExchange,
+                                    const MessageHead& aHead,
+                                    const std::string& aBody)
 {
   const auto caller = this->callers.find(aExchange.caller);
   if (caller == this->callers.end()) {
@@ -257,21 +271,24 @@
                      this->answerHead(aExchange, aHead, framing) + aBody);
 }
 
-/** The replica, or one on its path, says that the request did not run. */
+/** Handles an answer by which the replica, or another one on its path, states
+ * that it did not execute the request. The request is sent again
+ * elsewhere, up to the maximum number of attempts. */
 void
-RelayLoop::Impl::onNotRun(Exchange& aExchange, const MessageHead& aHead)
+RelayLoop::Impl::onNotExecuted(Exchange& aExchange, const MessageHead& aHead)
 {
   std::string faulty = aExchange.replica;
   if (const auto at = aHead.headers.find(this->names.faultyReplica)) {
     const Result<Address> address = addressFromText(*at);
-    const Replica* named = address ? this->replicaAt(address.value()) : nullptr;
-    faulty = named != nullptr ? named->id : faulty;
+    const Replica* reported =
+      address ? this->replicaByAddress(address.value()) : nullptr;
+    faulty = reported != nullptr ? reported->id : faulty;
   }
-  const bool path = !aExchange.path.parts.empty();
-  // Work that found no replica at a part of its path for the whole stall time
-  // comes back as refused: that part is dead, not full.
+  const bool hasPath = !aExchange.path.parts.empty();
+  // Work that reached no replica at one part of its path for the whole stall
+  // timeout also comes back as refused. That replica is dead, not full.
   const bool stalled =
-    path && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
+    hasPath && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
   this->health.onFailure(faulty,
                          stalled ? ReplicaFailure::Stalled
                                  : ReplicaFailure::Refused,
@@ -283,7 +300,7 @@
                            .with("stalled", stalled ? 1 : 0));
   aExchange.avoid.insert(faulty);
   this->dropAttempt(aExchange, false);
-  // A started stream waits for the budget, and for a path, before it is cut.
+  // A started stream first waits for the retry budget and for a path.
   if (maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(RetryReason::ReplicaRefused);
     aExchange.owesRetry = true;
@@ -295,35 +312,39 @@
                aExchange.runs == 0);
 }
 
-/** The present attempt has ended without a whole answer. */
+/** Handles the end of the current attempt without a complete answer: retries
+ * the request if it did not run or may be repeated, else answers with an error.
+ */
 void
-RelayLoop::Impl::onBroken(Exchange& aExchange,
-                          ReplicaFailure aFailure,
-                          std::string_view aCause)
+RelayLoop::Impl::onAttemptFailed(Exchange& aExchange,
+                                 ReplicaFailure aFailure,
+                                 std::string_view aCause)
 {
   constexpr std::int64_t kMicrosPerMs = 1000;
-  const bool ran = this->mayHaveRun(aExchange);
+  const bool possiblyRan = this->mayHaveRun(aExchange);
   this->health.onFailure(aExchange.replica, aFailure, this->now);
   this->shared.log.write(
     LogLine{ LogPart::Path, "attempt_broken" }
       .with("id", aExchange.requestId)
       .with("replica", aExchange.replica)
       .with("cause", aCause)
-      .with("sent", ran ? 1 : 0)
+      .with("sent", possiblyRan ? 1 : 0)
       .with("events", aExchange.events)
-      .with("content", toText(contentOf(aExchange)))
+      .with("content", toText(contentFingerprint(aExchange)))
       .with("there_ms", (this->now - aExchange.sentAt).count() / kMicrosPerMs));
   aExchange.avoid.insert(aExchange.replica);
-  this->dropAttempt(aExchange, ran);
+  this->dropAttempt(aExchange, possiblyRan);
   const RelayRoute& route = *aExchange.route;
-  const bool repeatable = route.rule == RetryRule::Idempotent ||
-                          (route.rule == RetryRule::Stream && route.resumable);
-  const bool allowed = !ran || (repeatable && aExchange.runs < route.attempts);
+  const bool isRepeatable =
+    route.rule == RetryRule::Idempotent ||
+    (route.rule == RetryRule::Stream && route.resumable);
+  const bool retryAllowed =
+    !possiblyRan || (isRepeatable && aExchange.runs < route.attempts);
   if (aFailure == ReplicaFailure::Unreachable) {
     this->publishLost();
     this->confirmCrashes();
   }
-  if (allowed && maySendAgain(aExchange)) {
+  if (retryAllowed && maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(aExchange.answering
                                       ? RetryReason::StreamBroken
                                       : RetryReason::ReplicaFailed);
@@ -332,8 +353,9 @@
     return;
   }
   this->refuse(aExchange,
-               Error{ ran || aExchange.runs > 0 ? ErrorKind::OutcomeUnknown
-                                                : ErrorKind::NoRoute,
+               Error{ possiblyRan || aExchange.runs > 0
+                        ? ErrorKind::OutcomeUnknown
+                        : ErrorKind::NoRoute,
                       "the replica was lost" },
                aExchange.runs == 0);
 }
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -1,4 +1,5 @@
-// Work that stands still: when to ask, and what the answers mean.
+// Stalled attempts: when to request reports from replicas, and how to act on
+// the reports.
 
 #include <algorithm>
 #include <set>
@@ -8,62 +9,68 @@
 namespace poplartrack {
 namespace {
 
-/** Progress that is this many times overdue is looked into. Passes of other
- * requests' prompts stretch a step two- or threefold. */
-constexpr int kOverdue = 3;
+/** An attempt counts as stalled after this many times the expected time without
+ * progress. Prefill of other requests makes a step two or three times as long.
+ */
+constexpr int kStallFactor = 3;
 
-/** ... but not before this. A question costs a probe, 1 in 1,400,000 of what
- * a day is worth; a stream that moves again within 200 to 250 ms of its last
- * event is still on time. */
-constexpr Duration kLeastPatience = std::chrono::milliseconds{ 100 };
-constexpr Duration kMostPatience = std::chrono::milliseconds{ 900 };
+/** Bounds of the stall timeout. A stream that continues within 200 to 250 ms of
+ * its last event is still on time, and a report costs one probe: 1 in 1,400,000
+ * of the value of a day's traffic. */
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds{ 100 };
+constexpr Duration kMaxStallTimeout = std::chrono::milliseconds{ 900 };
 
-/** A stream through a replica that is known to be lost is moved once it is
- * this much behind; others told of the loss before this relay noticed. */
-constexpr int kOverdueThroughLost = 2;
-constexpr Duration kLeastThroughLost = std::chrono::milliseconds{ 60 };
+/** The same for an attempt through a replica that is known to be lost, which is
+ * then moved. Other relays may report the loss before this one notices it. */
+constexpr int kLostPathStallFactor = 2;
+constexpr Duration kMinLostPathStallTimeout = std::chrono::milliseconds{ 60 };
 
-/** ... and when there was nowhere to move it, again after this. */
-constexpr Duration kMoveAgain = std::chrono::milliseconds{ 150 };
+/** Delay until the move is tried again if there was no other path. */
+constexpr Duration kMoveRetryDelay = std::chrono::milliseconds{ 150 };
 
-/** A replica is asked no more often than this: one answer serves all requests
- * that wait for it. Its report is 200 ms old, so the first one may not show yet
- * what the next one does. */
-constexpr Duration kAskPause = std::chrono::milliseconds{ 90 };
+/** Minimum time between two report requests to a stalled stream's first
+ * replica. One report serves all its streams. A report is up to 200 ms old,
+ * so the next one may show a stall that the first one doesn't. */
+constexpr Duration kMinReportInterval = std::chrono::milliseconds{ 90 };
 
-/** ... and the others of a late path no more often than this: a slow replica
- * stays so for seconds, and each question is a priced call. */
-constexpr Duration kAskAllPause = std::chrono::milliseconds{ 1'000 };
+/** The same for the other replicas of a stalled stream's path, and for slow
+ * replicas: a replica stays slow for seconds, and each report is a priced call.
+ */
+constexpr Duration kMinPathReportInterval = std::chrono::milliseconds{ 1'000 };
 
-/** A replica this many times slower than declared is asked again until it is
- * not. */
-constexpr double kSlow = 1.2;
+/** Reports are requested repeatedly while a replica is this many times slower
+ * than declared. */
+constexpr double kSlowFactor = 1.2;
 
 } // namespace
 
-/** How long the present attempt may stand still before its replica is asked. */
+/** Returns how long the current attempt may go without progress before the next
+ * action on its stall. */
 Duration
 RelayLoop::Impl::stallTimeoutOf(const Exchange& aExchange) const
 {
-  const bool begun = aExchange.streaming && aExchange.events > 0;
-  const Duration expected = begun ? aExchange.path.perToken * kTokensPerEvent
-                                  : aExchange.path.firstToken +
-                                      aExchange.path.perToken * kTokensPerEvent;
-  if (this->throughLost(aExchange)) {
-    return aExchange.asking ? kMoveAgain
-                            : std::clamp(expected * kOverdueThroughLost,
-                                         kLeastThroughLost,
-                                         kMostPatience);
+  const bool hasEvents = aExchange.streaming && aExchange.events > 0;
+  const Duration expected =
+    hasEvents
+      ? aExchange.path.perToken * kTokensPerEvent
+      : aExchange.path.firstToken + aExchange.path.perToken * kTokensPerEvent;
+  if (this->usesLostReplica(aExchange)) {
+    return aExchange.asking ? kMoveRetryDelay
+                            : std::clamp(expected * kLostPathStallFactor,
+                                         kMinLostPathStallTimeout,
+                                         kMaxStallTimeout);
   }
   if (aExchange.asking) {
-    return kAskPause;
+    return kMinReportInterval;
   }
-  return std::clamp(expected * kOverdue, kLeastPatience, kMostPatience);
+  return std::clamp(
+    expected * kStallFactor, kMinStallTimeout, kMaxStallTimeout);
 }
 
-/** Whether the path leads through a replica that is certainly lost. */
+/** Returns whether the path includes a replica that is certainly lost and not
+ * merely slow. */
 bool
-RelayLoop::Impl::throughLost(const Exchange& aExchange) const
+RelayLoop::Impl::usesLostReplica(const Exchange& aExchange) const
 {
   const auto lost = this->shared.lost.read();
   const auto& parts = aExchange.path.parts;
@@ -75,42 +82,44 @@
          });
 }
 
-/** Streams through a replica that is newly known to be lost are looked at as
- * soon as they are late. Those that still move are left alone: the loss may be
- * one between that replica and others. */
+/** Shortens the stall timers of streams through a replica that was newly
+ * reported as lost. Streams that still make progress are not moved, since only
+ * the network between this replica and others may be lost. */
 void
-RelayLoop::Impl::hurryThrough(const std::string& aReplica)
+RelayLoop::Impl::rearmStallTimers(const std::string& aReplica)
 {
   for (const std::uint64_t id : this->requestsThrough(aReplica)) {
     this->armExchange(*this->exchanges.at(id));
   }
 }
 
-/** Nothing has come for too long: the stream is moved when the cause is known,
- * else it is asked for. */
+/** Handles a stalled attempt: moves it if a replica of its path is known to be
+ * lost, else requests a report from its first replica. */
 void
-RelayLoop::Impl::onOverdue(Exchange& aExchange)
+RelayLoop::Impl::onStallTimeout(Exchange& aExchange)
 {
   const std::uint64_t id = aExchange.id;
   aExchange.asking = true;
   aExchange.askedAt = this->now;
-  if (this->throughLost(aExchange)) {
+  if (this->usesLostReplica(aExchange)) {
     this->repair(aExchange, false);
   } else {
-    this->ask(aExchange.path.parts.front(), kAskPause);
+    this->requestReport(aExchange.path.parts.front(), kMinReportInterval);
   }
-  const auto still = this->exchanges.find(id);
-  if (still != this->exchanges.end() && still->second->connection != 0) {
-    this->armExchange(*still->second);
+  const auto entry = this->exchanges.find(id);
+  if (entry != this->exchanges.end() && entry->second->connection != 0) {
+    this->armExchange(*entry->second);
   }
 }
 
-/** Asks a replica how it does, unless it was asked lately. */
+/** Requests a status report from a replica, unless the last request was less
+ * than aMinInterval ago. */
 void
-RelayLoop::Impl::ask(const PathPart& aPart, Duration aPause)
+RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aMinInterval)
 {
-  const auto asked = this->askedAt.find(aPart.replica);
-  if (asked != this->askedAt.end() && this->now - asked->second < aPause) {
+  const auto lastRequest = this->askedAt.find(aPart.replica);
+  if (lastRequest != this->askedAt.end() &&
+      this->now - lastRequest->second < aMinInterval) {
     return;
   }
   this->askedAt[aPart.replica] = this->now;
@@ -123,10 +132,11 @@
     });
 }
 
-/** Streams that begin at this replica are late and nothing has stalled: one of
- * their other replicas may be slow, which only it can tell. */
+/** Requests reports from all replicas on the path of one stalled stream of this
+ * first replica. The first replica reported no stalled work, so another replica
+ * of the path may be slow, which only its own report shows. */
 void
-RelayLoop::Impl::askRestOfPaths(const std::string& aFirst)
+RelayLoop::Impl::requestPathReports(const std::string& aFirst)
 {
   for (const auto& [id, exchange] : this->exchanges) {
     const auto& parts = exchange->path.parts;
@@ -134,30 +144,33 @@
       continue;
     }
     for (const PathPart& part : parts) {
-      this->ask(part, kAskAllPause);
+      this->requestReport(part, kMinPathReportInterval);
     }
     return;
   }
 }
 
-/** Those that were slow are asked again, to notice when they are not. */
+/** Requests reports from slow replicas, to detect when they are fast again. */
 void
-RelayLoop::Impl::askSlowOnes()
+RelayLoop::Impl::requestSlowReplicaReports()
 {
   for (const Replica& replica : this->view->replicas) {
-    if (this->health.slowdown(replica.id) > kSlow) {
-      this->ask(PathPart{ replica.id, replica.address, {} }, kAskAllPause);
+    if (this->health.slowdown(replica.id) > kSlowFactor) {
+      this->requestReport(PathPart{ replica.id, replica.address, {} },
+                          kMinPathReportInterval);
     }
   }
 }
 
+/** Handles a replica's report, or its failure to report: updates the replica's
+ * health, and moves the work that is blocked on a stalled or lost replica. */
 void
 RelayLoop::Impl::onReport(const std::string& aReplica,
                           const ReplicaReport& aReport)
 {
-  if (!aReport.reached && this->movesAt(aReplica)) {
-    // Too busy to answer in time, but its streams move: taking it for dead
-    // used up the attempts of all of them.
+  if (!aReport.reached && this->hasRecentProgress(aReplica)) {
+    // The replica is too busy to report in time, but its streams make progress.
+    // Treating it as dead would use up an attempt of each of them.
     this->health.onSlowdown(aReplica, kDegradedSlowdown);
     return;
   }
@@ -167,23 +180,23 @@
     this->onFaultyReplica(aReplica);
     return;
   }
-  const Replica* listed = this->replicaOf(aReplica);
+  const Replica* listed = this->replicaById(aReplica);
   if (listed != nullptr && listed->startedAtMs != 0 &&
       aReport.startedAtMs != 0 && listed->startedAtMs != aReport.startedAtMs) {
-    // It has started again, and the list does not tell yet.
+    // It has restarted, and the replica list does not show this yet.
     this->endIncarnation(aReplica);
     return;
   }
-  // What runs there goes on, slower: moving hundreds of streams at once would
-  // take the pipes between zones for longer than the slow part costs them.
+  // Work at a slow replica is not moved. Moving hundreds of streams at once
+  // would occupy the zone links for longer than the slow replica delays them.
   this->health.onSlowdown(aReplica, aReport.pace);
   if (aReport.stalled.empty()) {
-    this->askRestOfPaths(aReplica);
+    this->requestPathReports(aReplica);
     return;
   }
   std::set<std::string> blockedOn;
   for (const StalledWork& work : aReport.stalled) {
-    if (const Replica* replica = this->replicaAt(work.blockedOn)) {
+    if (const Replica* replica = this->replicaByAddress(work.blockedOn)) {
       blockedOn.insert(replica->id);
     }
   }
@@ -193,20 +206,20 @@
   }
 }
 
-/** Whether a stream that begins at this replica has moved since it was asked.
- */
+/** Returns whether a stream of this first replica has made progress since the
+ * last report request. */
 bool
-RelayLoop::Impl::movesAt(const std::string& aReplica) const
+RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
-  const auto asked = this->askedAt.find(aReplica);
-  return asked != this->askedAt.end() &&
+  const auto lastRequest = this->askedAt.find(aReplica);
+  return lastRequest != this->askedAt.end() &&
          std::any_of(this->exchanges.begin(),
                      this->exchanges.end(),
                      [&](const auto& aEntry) {
                        const Exchange& exchange = *aEntry.second;
                        return exchange.replica == aReplica &&
                               exchange.connection != 0 && exchange.events > 0 &&
-                              exchange.lastProgress > asked->second;
+                              exchange.lastProgress > lastRequest->second;
                      });
 }
 
