--- a/include/poplartrack/fleet/LinkRate.h
+++ b/include/poplartrack/fleet/LinkRate.h
@@ -17,7 +17,7 @@
 /** Whether streams that cross pipes are held up by single prompts there only
  * for times that callers accept. */
 inline bool
-crossesSteadily(const EngineProfile& aProfile)
+hasFastLinks(const EngineProfile& aProfile)
 {
   return crossingRate(aProfile) >= kSteadyCrossings;
 }
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -239,7 +239,7 @@
     const auto heard = static_cast<double>(this->knownPeers.size() + 1);
     const auto known =
       static_cast<double>(this->shared.peers.read()->size() + 1);
-    const double part = crossesSteadily(engine) ? kCalmPart : kSlowLinkPart;
+    const double part = hasFastLinks(engine) ? kCalmPart : kSlowLinkPart;
     this->links.setRate(part * engine.linkMbps * kBytesPerMegabit *
                         std::min(heard / known, 1.0));
     aDemand.closed = this->links.closed(this->now);
--- a/tests/unit/fleet/FleetSamples.h
+++ b/tests/unit/fleet/FleetSamples.h
@@ -60,9 +60,9 @@
 /** Whether the path runs each layer once and in order, names no replica twice,
  * and each part is held. */
 inline bool
-isProper(const LayerPath& aPath,
-         const std::vector<Replica>& aReplicas,
-         std::uint32_t aLayers)
+isValidPath(const LayerPath& aPath,
+            const std::vector<Replica>& aReplicas,
+            std::uint32_t aLayers)
 {
   std::uint32_t next = 0;
   std::vector<std::string> named;
--- a/tests/unit/fleet/PathFinderTest.cpp
+++ b/tests/unit/fleet/PathFinderTest.cpp
@@ -115,7 +115,7 @@
   const auto path =
     findPath(smallProfile(), candidatesOf(replicas), demandIn("b"));
   ASSERT_TRUE(path);
-  EXPECT_TRUE(isProper(path.value(), replicas, 20));
+  EXPECT_TRUE(isValidPath(path.value(), replicas, 20));
   EXPECT_LE(crossingsOf(path.value()), 1U);
 }
 
@@ -128,7 +128,7 @@
   const auto path =
     findPath(smallProfile(), candidatesOf(replicas), demandIn("b"));
   ASSERT_TRUE(path);
-  EXPECT_TRUE(isProper(path.value(), replicas, 20));
+  EXPECT_TRUE(isValidPath(path.value(), replicas, 20));
   EXPECT_EQ(crossingsOf(path.value()), 1U);
 }
 
@@ -270,7 +270,7 @@
   candidates[1].load.tokenLayers = tokenLayerCapacity(profile, replicas[1]);
   const auto path = findPath(profile, candidates, demandIn("a"));
   ASSERT_TRUE(path);
-  EXPECT_TRUE(isProper(path.value(), replicas, 20));
+  EXPECT_TRUE(isValidPath(path.value(), replicas, 20));
   for (const PathPart& part : path.value().parts) {
     EXPECT_NE(part.replica, "a2");
   }
@@ -343,7 +343,7 @@
   }
   const auto path = findPath(smallProfile(), candidates, demandIn("a"));
   if (path) {
-    RC_ASSERT(isProper(path.value(), replicas, 20));
+    RC_ASSERT(isValidPath(path.value(), replicas, 20));
   }
 }
 
--- a/tests/unit/fleet/StaggeredCopiesTest.cpp
+++ b/tests/unit/fleet/StaggeredCopiesTest.cpp
@@ -66,7 +66,7 @@
   const auto replicas = dealt(copies, "slow");
   const auto path = pathFrom(profile, replicas, "z0");
   ASSERT_TRUE(path);
-  EXPECT_TRUE(isProper(path.value(), replicas, profile.layers));
+  EXPECT_TRUE(isValidPath(path.value(), replicas, profile.layers));
   EXPECT_EQ(path.value().crossings.size(), 1U);
 }
 
--- a/tests/unit/fleet/ZoneFlowTest.cpp
+++ b/tests/unit/fleet/ZoneFlowTest.cpp
@@ -61,12 +61,12 @@
 {
   // A token waits behind a prompt for the time that this takes the pipe: 33 ms
   // here, or 200 ms, which is near the longest pause that callers accept.
-  EXPECT_TRUE(crossesSteadily(profileWithLinks(30)));
-  EXPECT_FALSE(crossesSteadily(profileWithLinks(5)));
+  EXPECT_TRUE(hasFastLinks(profileWithLinks(30)));
+  EXPECT_FALSE(hasFastLinks(profileWithLinks(5)));
   EXPECT_NEAR(crossingRate(profileWithLinks(5)), 5, 1e-9);
   EngineProfile unbounded = smallProfile();
   unbounded.linkMbps = 0;
-  EXPECT_TRUE(crossesSteadily(unbounded));
+  EXPECT_TRUE(hasFastLinks(unbounded));
 }
 
 RC_GTEST_PROP(ZoneFlow,
