--- a/src/fleet/CopySplit.cpp
+++ b/src/fleet/CopySplit.cpp
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <optional>
 
-#include "LayerCut.h"
+#include "LayerPartition.h"
 
 namespace poplartrack {
 namespace {
--- a/src/fleet/LayerCut.cpp
+++ b/src/fleet/LayerPartition.cpp
@@ -1,4 +1,4 @@
-#include "LayerCut.h"
+#include "LayerPartition.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fleet/LayerPlanner.cpp
+++ b/src/fleet/LayerPlanner.cpp
@@ -6,8 +6,8 @@
 
 #include "CopySplit.h"
 #include "LayerCopy.h"
-#include "LayerCut.h"
-#include "StaggeredCopies.h"
+#include "LayerPartition.h"
+#include "PartialCopies.h"
 
 namespace poplartrack {
 
--- a/src/fleet/LayerRepair.cpp
+++ b/src/fleet/LayerRepair.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "LayerCopy.h"
-#include "LayerCut.h"
+#include "LayerPartition.h"
 #include "poplartrack/fleet/LayerPlanner.h"
 
 namespace poplartrack {
--- a/src/fleet/LayerSpeed.cpp
+++ b/src/fleet/LayerSpeed.cpp
@@ -6,7 +6,7 @@
 #include "CopySplit.h"
 #include "FasterRange.h"
 #include "LayerCopy.h"
-#include "LayerCut.h"
+#include "LayerPartition.h"
 #include "poplartrack/fleet/LayerPlanner.h"
 
 namespace poplartrack {
--- a/src/fleet/StaggeredCopies.cpp
+++ b/src/fleet/PartialCopies.cpp
@@ -1,4 +1,4 @@
-#include "StaggeredCopies.h"
+#include "PartialCopies.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "LayerCopy.h"
-#include "LayerCut.h"
+#include "LayerPartition.h"
 
 namespace poplartrack {
 namespace {
--- a/src/fleet/StaggeredCopies.h
+++ b/src/fleet/PartialCopies.h
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-#include "ZoneFlow.h"
+#include "ZoneThroughput.h"
 #include "poplartrack/base/LayerRange.h"
 #include "poplartrack/fleet/EngineProfile.h"
 
--- a/src/fleet/ZoneFlow.cpp
+++ b/src/fleet/ZoneThroughput.cpp
@@ -1,4 +1,4 @@
-#include "ZoneFlow.h"
+#include "ZoneThroughput.h"
 
 #include <algorithm>
 #include <limits>
--- a/tests/unit/fleet/CopySplitTest.cpp
+++ b/tests/unit/fleet/CopySplitTest.cpp
@@ -7,7 +7,7 @@
 
 #include <rapidcheck/gtest.h>
 
-#include "../../../src/fleet/LayerCut.h"
+#include "../../../src/fleet/LayerPartition.h"
 #include "FleetSamples.h"
 
 namespace poplartrack {
--- a/tests/unit/fleet/LayerCutTest.cpp
+++ b/tests/unit/fleet/LayerPartitionTest.cpp
@@ -1,4 +1,4 @@
-#include "../../../src/fleet/LayerCut.h"
+#include "../../../src/fleet/LayerPartition.h"
 
 #include <numeric>
 
--- a/tests/unit/fleet/StaggeredCopiesTest.cpp
+++ b/tests/unit/fleet/PartialCopiesTest.cpp
@@ -1,4 +1,4 @@
-#include "../../../src/fleet/StaggeredCopies.h"
+#include "../../../src/fleet/PartialCopies.h"
 
 #include <set>
 
--- a/tests/unit/fleet/ZoneFlowTest.cpp
+++ b/tests/unit/fleet/ZoneThroughputTest.cpp
@@ -1,4 +1,4 @@
-#include "../../../src/fleet/ZoneFlow.h"
+#include "../../../src/fleet/ZoneThroughput.h"
 
 #include <gtest/gtest.h>
 
