--- a/include/poplartrack/fleet/CopyGap.h
+++ b/include/poplartrack/fleet/CopyGap.h
@@ -6,7 +6,7 @@
 
 namespace poplartrack {
 
-/** Layers that no replica of a zone's copy holds, or will hold. */
+/** Layers that no replica of a zone's copy holds or has an open order for. */
 struct CopyGap
 {
   std::string zone;
--- a/include/poplartrack/fleet/EngineProfile.h
+++ b/include/poplartrack/fleet/EngineProfile.h
@@ -13,44 +13,50 @@
 struct AcceleratorKind
 {
   double memoryMb = 0;
-  /** How many times as long as the reference a token step takes. */
+  /** Duration of a decode step, as a multiple of the reference accelerator's.
+   */
   double stepFactor = 1;
-  /** How many times as long as the reference reading a prompt takes. */
+  /** Duration of prefill, as a multiple of the reference accelerator's. */
   double prefillFactor = 1;
 };
 
-/** How the replicas of a model service compute; all figures are declared by
- * the operator and hold for the reference accelerator and all layers. */
+/** Speed, memory and network figures of a model service. The operator declares
+ * all of them. Times are those of the reference accelerator running all layers.
+ */
 struct EngineProfile
 {
-  /** Requests that one replica takes as first of a path. */
+  /** Concurrent requests for which one replica can be the first of a path. */
   std::uint32_t slots = 1;
   std::uint32_t layers = 1;
   double layerMb = 0;
-  /** Memory of one token over all layers, in bytes. */
+  /** KV cache of one token over all layers, in bytes. */
   double tokenBytes = 0;
-  /** A pass: fixed part, part of each request, part of 1,000 tokens of
-   * context, in ms. */
+  /** Fixed part of a decode step, in ms. */
   double stepMs = 0;
+  /** Added to a decode step for each request in its batch, in ms. */
   double perRequestMs = 0;
+  /** Added to a decode step for each 1,000 tokens of context, in ms. */
   double contextMsPerK = 0;
-  /** Prompt tokens read in a second. */
+  /** Prompt tokens prefilled per second. */
   double prefillPerSecond = 1;
-  /** Bytes that a token sends from one part of a path to the next. */
+  /** Bytes of activations that a token sends from one replica of a path to the
+   * next. */
   double activationBytes = 0;
-  /** The pipe between each two availability zones, in Mbit/s; all that passes
-   * between them shares it. */
+  /** Capacity of the link between two availability zones, in Mbit/s. All
+   * traffic between the two shares it. 0 if unbounded. */
   double linkMbps = 0;
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean number of tokens of a prompt and of an answer. */
   double meanPromptTokens = 0;
   double meanAnswerTokens = 0;
-  /** Time to load all layers onto one replica. */
+  /** Time that one replica takes to load all layers. */
   Duration loadTime{ 0 };
+  /** The accelerators that replicas may have, by the name of the kind. */
   std::map<std::string, AcceleratorKind> kinds;
-  /** One-way delay between availability zones, by (smaller, larger) name. */
+  /** One-way delay between availability zones, keyed by (smaller, larger) name.
+   */
   std::map<ZonePair, Duration> delays;
 
-  /** Memory of one token in one layer, in MB. */
+  /** Returns the KV cache of one token in one layer, in MB. */
   [[nodiscard]] double tokenLayerMb() const
   {
     constexpr double kBytesPerMb = 1e6;
--- a/include/poplartrack/fleet/LayerOrder.h
+++ b/include/poplartrack/fleet/LayerOrder.h
@@ -6,12 +6,12 @@
 
 namespace poplartrack {
 
-/** One replica is to hold these layers, instead of what it holds now. */
+/** Tells one replica to hold these layers in place of its current ones. */
 struct LayerOrder
 {
   std::string replica;
   LayerRange layers;
-  /** Why, for the log. */
+  /** Why the planner moves the layers; written to the log. */
   const char* reason = "";
 
   friend bool operator==(const LayerOrder& aLeft, const LayerOrder& aRight)
--- a/include/poplartrack/fleet/LayerPlanner.h
+++ b/include/poplartrack/fleet/LayerPlanner.h
@@ -15,51 +15,55 @@
 
 namespace poplartrack {
 
-/** How the planner waits before it acts. */
+/** Delays and timeouts of the planner. */
 struct LayerPlannerPolicy
 {
-  /** The first plan waits until no replica has registered for this long: a
-   * plan drawn over half of them would have to be drawn again. Replicas
-   * register over about 3.5 s. */
-  Duration settle = std::chrono::milliseconds{ 1'200 };
-  /** ... but not longer than this after the first one registered. */
-  Duration settleMost = std::chrono::seconds{ 4 };
-  /** A gap is left alone for this long: replicas that leave together are
-   * replaced together. One that crashed comes back empty after some seconds,
-   * so that nothing is gained by waiting for it. */
-  Duration gapPatience = std::chrono::milliseconds{ 300 };
-  /** ... and for this long while a replica is missing that only the leader
-   * cannot reach: the leader itself may be the one that is cut off. */
-  Duration doubtPatience = std::chrono::milliseconds{ 1'500 };
-  /** A copy that lacks layers for this long, whatever neighbours and newcomers
-   * do, is cut anew. Replicas that crash are back, empty, after three to five
-   * seconds; what they held is loaded again soonest by them. */
-  Duration recutPatience = std::chrono::seconds{ 6 };
-  /** A newcomer that would only double others waits this long for a part to
-   * come free. In a release the new replica starts before the old one leaves:
-   * put elsewhere meanwhile, it was missing where the old one had been. */
-  Duration doublePatience = std::chrono::seconds{ 3 };
-  /** A replica that refused an order is given none for this long. */
-  Duration refusedRest = std::chrono::milliseconds{ 1'000 };
-  /** An order that shows no effect for this long is given again, beyond the
-   * time that loading takes. */
-  Duration orderPatience = std::chrono::seconds{ 4 };
+  /** The first plan waits until no replica has registered for this long. A
+   * plan made for half of the replicas would have to be made again. After a
+   * start, replicas register over about 3.5 s. */
+  Duration registrationQuietTime = std::chrono::milliseconds{ 1'200 };
+  /** Longest wait of the first plan, from the first registration on. */
+  Duration maxRegistrationWait = std::chrono::seconds{ 4 };
+  /** Replicas that hold other layers close a gap only after this delay, so that
+   * the parts of replicas that leave together are taken over together. A longer
+   * delay gains nothing: a replica that crashed restarts without layers, and
+   * only after some seconds. */
+  Duration gapRepairDelay = std::chrono::milliseconds{ 300 };
+  /** Replaces gapRepairDelay while a replica is missing that only the leader
+   * cannot reach: the leader itself may be the one that is partitioned. */
+  Duration uncertainGapRepairDelay = std::chrono::milliseconds{ 1'500 };
+  /** A copy that still lacks layers after this time is partitioned again among
+   * its remaining replicas. A crashed replica restarts without layers after 3
+   * to 5 s, and giving it its former layers again is the fastest repair. */
+  Duration repartitionDelay = std::chrono::seconds{ 6 };
+  /** A new replica waits this long for a gap before it loads layers that others
+   * hold already. In a rolling release the new replica starts before the old
+   * one drains. If it loaded other layers meanwhile, it would be missing where
+   * the old one had been. */
+  Duration duplicateDelay = std::chrono::seconds{ 3 };
+  /** Backoff after a replica refused an order. */
+  Duration refusalBackoff = std::chrono::milliseconds{ 1'000 };
+  /** An order that has had no effect after the load time of the model plus this
+   * timeout is issued again. */
+  Duration orderTimeout = std::chrono::seconds{ 4 };
 };
 
 /**
  * Decides which layers each replica of one model service holds.
  *
- * Each availability zone gets a whole copy of the model where its memory
- * allows, so that no token crosses zones; zones that are too small leave out a
- * stretch each that others hold, so that a request crosses once. Within a copy
- * the layers are cut so that every replica keeps memory for the same number of
- * tokens, and fast accelerators take as many layers as that allows. Later
- * changes move as little as possible: an empty replica takes what is missing or
- * doubles the part with the least memory; a part that stays away is taken over
- * by the others with the least loading.
+ * An availability zone with enough memory gets whole copies of the model, so
+ * that no token crosses zones. Zones with less memory share the layers: each
+ * leaves out one layer range that others hold, so that a request crosses once.
+ * Within a copy, every replica keeps memory for the same number of tokens, and
+ * fast accelerators take as many layers as that allows.
  *
- * Pure: it is given the time and keeps only its own open orders. Not
- * thread-safe.
+ * Later changes move as few layers as possible. A replica without layers takes
+ * missing ones, or else duplicates those with the least memory for requests.
+ * Layers that stay missing are taken over by the other replicas with the least
+ * loading.
+ *
+ * Does no I/O and reads no clock. Keeps only its open orders and the times that
+ * its delays count from. Not thread-safe.
  */
 class LayerPlanner
 {
@@ -70,29 +74,31 @@
   }
 
   /**
-   * The orders that are due now.
+   * Returns the orders that are due now.
    *
-   * @param aReplicas the service's replicas that live and stay
-   * @param aUncertain whether a listed replica is missing that may be well
-   * @param aBusy replicas through which requests pass
+   * @param aReplicas replicas of the service that are alive and not draining
+   * @param aUncertain whether a listed replica is missing that may be healthy
+   * @param aBusy replicas that carry requests
    */
   std::vector<LayerOrder> plan(const EngineProfile& aProfile,
                                std::span<const Replica> aReplicas,
                                bool aUncertain,
                                const std::set<std::string>& aBusy,
                                TimePoint aNow);
-  /** What the last plan left open. */
+  /** Returns the layers that are still missing after the last plan. */
   [[nodiscard]] const std::vector<CopyGap>& gaps() const
   {
     return this->openGaps;
   }
-  /** An order was not accepted: it is not waited for. */
+  /** Drops the open order of a replica that refused it and starts the backoff.
+   */
   void onRefused(const std::string& aReplica)
   {
-    this->open.erase(aReplica);
-    this->refused.insert_or_assign(aReplica, this->now);
+    this->openOrders.erase(aReplica);
+    this->refusedAt.insert_or_assign(aReplica, this->now);
   }
-  /** Forgets open orders and waits: another process led meanwhile. */
+  /** Forgets open orders and gap times, because another process has been the
+   * leader meanwhile. */
   void reset();
 
 private:
@@ -101,88 +107,108 @@
     LayerRange layers;
     TimePoint since;
   };
-  /** A replica with what it holds or will hold once its order is done. */
-  struct Holder
+  /** A replica of a group during one plan. */
+  struct Member
   {
     const Replica* replica = nullptr;
+    /** What it holds, or will hold once its open order is done. */
     LayerRange layers;
-    bool moving = false;
+    /** Whether it has an open order or is in backoff; it gets no new order. */
+    bool pending = false;
   };
-  using Group = std::vector<Holder>;
+  /** Replicas whose layers are planned together: those of one zone, or of all
+   * zones that are too small for a copy of their own. */
+  using Group = std::vector<Member>;
 
-  [[nodiscard]] bool settled(std::span<const Replica> aReplicas,
-                             TimePoint aNow);
-  void settleOrders(const EngineProfile& aProfile,
-                    std::span<const Replica> aReplicas,
-                    TimePoint aNow);
-  [[nodiscard]] std::vector<Group> groups(
+  // The functions are described at their definitions, in LayerPlanner.cpp,
+  // LayerGap.cpp, LayerRepair.cpp and LayerSpeed.cpp.
+  [[nodiscard]] bool registrationSettled(std::span<const Replica> aReplicas,
+                                         TimePoint aNow);
+  void pruneOrders(const EngineProfile& aProfile,
+                   std::span<const Replica> aReplicas,
+                   TimePoint aNow);
+  [[nodiscard]] std::vector<Group> groupReplicas(
     const EngineProfile& aProfile,
     std::span<const Replica> aReplicas) const;
-  void draw(const EngineProfile& aProfile, Group& aGroup);
-  bool drawStaggered(const EngineProfile& aProfile,
-                     const std::vector<Holder*>& aFastFirst);
-  void drawChain(const EngineProfile& aProfile, std::vector<Holder*>& aChain);
+  void layOutCopies(const EngineProfile& aProfile, Group& aGroup);
+  bool layOutPartialCopies(const EngineProfile& aProfile,
+                           const std::vector<Member*>& aFastFirst);
+  void layOutCopy(const EngineProfile& aProfile,
+                  std::vector<Member*>& aMembers);
   void repair(const EngineProfile& aProfile,
               Group& aGroup,
               const std::set<std::string>& aBusy);
-  /** The holders on both sides of a gap; null where there is none. */
+  /** The members that hold the layers next to a gap; null if there is none. */
   struct Neighbours
   {
-    Holder* before = nullptr;
-    Holder* behind = nullptr;
+    Member* before = nullptr;
+    Member* after = nullptr;
   };
-  [[nodiscard]] static double tokensBeside(const EngineProfile& aProfile,
-                                           const Holder& aHolder,
-                                           std::uint32_t aLayers);
+  [[nodiscard]] static double tokenCapacityWith(const EngineProfile& aProfile,
+                                                const Member& aMember,
+                                                std::uint32_t aLayers);
   [[nodiscard]] static Neighbours neighboursOf(const EngineProfile& aProfile,
                                                Group& aGroup,
                                                LayerRange aGap);
   [[nodiscard]] static std::optional<LayerRange> bestShare(
     const EngineProfile& aProfile,
-    const Holder& aEmpty,
-    const Neighbours& aBeside,
+    const Member& aEmpty,
+    const Neighbours& aNeighbours,
     LayerRange aGap);
   bool shareGap(const EngineProfile& aProfile,
                 Group& aGroup,
-                Holder& aEmpty,
+                Member& aEmpty,
                 LayerRange aGap);
   void fillGap(const EngineProfile& aProfile, Group& aGroup, LayerRange aGap);
-  void stretch(const EngineProfile& aProfile, Group& aGroup, LayerRange aGap);
-  [[nodiscard]] static bool isSecondHolder(const Group& aGroup,
-                                           const Holder& aHolder);
-  void moveSecondHolder(const EngineProfile& aProfile,
+  void extendNeighbours(const EngineProfile& aProfile,
                         Group& aGroup,
                         LayerRange aGap);
+  [[nodiscard]] static bool isRedundant(const Group& aGroup,
+                                        const Member& aMember);
+  void moveRedundantMember(const EngineProfile& aProfile,
+                           Group& aGroup,
+                           LayerRange aGap);
   void shrink(const EngineProfile& aProfile,
               Group& aGroup,
               const std::set<std::string>& aBusy);
-  [[nodiscard]] static bool worthRecut(const EngineProfile& aProfile,
-                                       Group& aGroup);
-  void recut(const EngineProfile& aProfile, Group& aGroup);
-  void rescue(const EngineProfile& aProfile, std::vector<Group>& aZones);
-  bool completeZone(const EngineProfile& aProfile,
-                    const Group& aGroup,
-                    Holder& aEmpty,
-                    std::optional<LayerRange> aMissing);
-  void employ(const EngineProfile& aProfile, Group& aGroup, Holder& aEmpty);
-  bool placeFaster(const EngineProfile& aProfile,
+  [[nodiscard]] static bool shouldRepartition(const EngineProfile& aProfile,
+                                              Group& aGroup);
+  void repartition(const EngineProfile& aProfile, Group& aGroup);
+  void restoreCoverage(const EngineProfile& aProfile,
+                       std::vector<Group>& aGroups);
+  bool fillZoneGap(const EngineProfile& aProfile,
+                   const Group& aGroup,
+                   Member& aEmpty,
+                   std::optional<LayerRange> aMissing);
+  void assignEmpty(const EngineProfile& aProfile,
                    Group& aGroup,
-                   Holder& aHolder);
-  void order(Holder& aHolder, LayerRange aLayers, const char* aReason);
+                   Member& aEmpty);
+  bool assignFasterRange(const EngineProfile& aProfile,
+                         Group& aGroup,
+                         Member& aEmpty);
+  void issueOrder(Member& aMember, LayerRange aLayers, const char* aReason);
 
   LayerPlannerPolicy policy;
-  std::map<std::string, OpenOrder> open;
-  /** Replicas that refused an order, and when: most are carrying one out. */
-  std::map<std::string, TimePoint> refused;
+  /** Orders that are not yet carried out, by replica. */
+  std::map<std::string, OpenOrder> openOrders;
+  /** When a replica last refused an order. Most that do are still carrying out
+   * an earlier one. */
+  std::map<std::string, TimePoint> refusedAt;
+  /** Since when a group has had gaps, by the zone of its first member. */
   std::map<std::string, TimePoint> gapSince;
-  /** Since when some layer is held by no replica of any copy. */
-  std::optional<TimePoint> nowhereSince;
-  /** Replicas that are listed, and since when. */
-  std::map<std::string, TimePoint> known;
-  TimePoint firstSeen{};
+  /** Since when some layer has been held by no replica at all. */
+  std::optional<TimePoint> uncoveredSince;
+  /** When each listed replica was first listed. */
+  std::map<std::string, TimePoint> joinedAt;
+  /** When the list last went from empty to not empty. */
+  TimePoint firstJoined{};
+  /** When a new replica was last listed. */
   TimePoint lastJoined{};
+  /** Time of the current or last plan. */
   TimePoint now{};
-  Duration patience{ 0 };
+  /** Delay before gaps are repaired in the current plan. */
+  Duration repairDelay{ 0 };
+  /** Orders of the current plan. */
   std::vector<LayerOrder> orders;
   std::vector<CopyGap> openGaps;
 };
--- a/include/poplartrack/fleet/LinkRate.h
+++ b/include/poplartrack/fleet/LinkRate.h
@@ -4,22 +4,22 @@
 
 namespace poplartrack {
 
-/** A pipe that carries so many prompts a second or more holds up no stream that
- * crosses it for long: each stands behind one of them for 50 ms at most, and
- * callers accept pauses of some such. */
-constexpr double kSteadyCrossings = 20;
+/** Requests per second from which a zone link counts as fast. A token that
+ * crosses the link waits behind at most one prompt, 50 ms at this rate, and
+ * callers accept several such pauses. */
+constexpr double kFastLinkRequestRate = 20;
 
-/** Requests in a second that a pipe between two zones carries when each crosses
- * it once; infinite where pipes are not bounded. */
+/** Returns the requests per second that the link between two zones carries if
+ * each crosses it once; infinity if links are unbounded. */
 double
-crossingRate(const EngineProfile& aProfile);
+linkRequestRate(const EngineProfile& aProfile);
 
-/** Whether streams that cross pipes are held up by single prompts there only
- * for times that callers accept. */
+/** Returns whether a prompt on a zone link delays the streams that cross it
+ * only as long as callers accept. */
 inline bool
 hasFastLinks(const EngineProfile& aProfile)
 {
-  return crossingRate(aProfile) >= kSteadyCrossings;
+  return linkRequestRate(aProfile) >= kFastLinkRequestRate;
 }
 
 } // namespace poplartrack
--- a/src/fleet/CopySplit.cpp
+++ b/src/fleet/CopySplit.cpp
@@ -12,75 +12,80 @@
 
 using Kinds = std::vector<const AcceleratorKind*>;
 
-/** A zone gets several copies when each has memory for this part of the goal:
- * the loss of a replica then costs one of them, and streams go on through the
- * other inside the zone, without another attempt. */
-constexpr double kCopyOfSeveral = 0.5;
+/** A zone gets several copies if each has memory for this fraction of the token
+ * target. The loss of a replica then affects only one of them, and streams
+ * continue through another one of the same zone without a new attempt. */
+constexpr double kMinSplitCopyFraction = 0.5;
 
-/** Parts of the goal for which copies of the fewest replicas are tried. */
-constexpr std::array<double, 6> kPartsTried{ 0.5, 0.6, 0.7, 0.8, 0.9, 1.0 };
+/** Fractions of the token target for which copies of the fewest replicas are
+ * tried. */
+constexpr std::array<double, 6> kFractionsTried{ 0.5, 0.6, 0.7, 0.8, 0.9, 1.0 };
 
+/** Returns the accelerators at the given indexes. */
 Kinds
 kindsAt(const Kinds& aReplicas, const CopyMembers& aMembers)
 {
   Kinds kinds;
   kinds.reserve(aMembers.size());
-  for (const std::size_t place : aMembers) {
-    kinds.push_back(aReplicas[place]);
+  for (const std::size_t index : aMembers) {
+    kinds.push_back(aReplicas[index]);
   }
   return kinds;
 }
 
+/** Returns the indexes in [aFrom, aTo). */
 CopyMembers
-placesBetween(std::size_t aFrom, std::size_t aTo)
+indexesBetween(std::size_t aFrom, std::size_t aTo)
 {
-  CopyMembers places(aTo - aFrom);
-  std::iota(places.begin(), places.end(), aFrom);
-  return places;
+  CopyMembers indexes(aTo - aFrom);
+  std::iota(indexes.begin(), indexes.end(), aFrom);
+  return indexes;
 }
 
-/** Answers that the copies give in a second together when all are full. */
+/** Returns the answers per second of all copies together when they are full. */
 double
-answersOf(const EngineProfile& aProfile,
-          const Kinds& aReplicas,
-          const std::vector<CopyMembers>& aCopies,
-          double aGoal)
+totalAnswersPerSecond(const EngineProfile& aProfile,
+                      const Kinds& aReplicas,
+                      const std::vector<CopyMembers>& aCopies,
+                      double aTokenTarget)
 {
   double sum = 0;
   for (const CopyMembers& members : aCopies) {
     const Kinds kinds = kindsAt(aReplicas, members);
-    const double tokens = bestTokens(aProfile, kinds, aGoal);
-    const auto counts = cutLayers(aProfile, kinds, tokens, aProfile.layers);
+    const double tokens = bestTokenCapacity(aProfile, kinds, aTokenTarget);
+    const auto counts =
+      partitionLayers(aProfile, kinds, tokens, aProfile.layers);
     sum +=
       counts.empty() ? 0 : answersPerSecond(aProfile, kinds, counts, tokens);
   }
   return sum;
 }
 
-/** Deals the replicas out in turn over so many copies; nothing when one of
- * these has too little memory. */
+/** Splits the replicas round robin into aCopies copies. Returns nothing if one
+ * of them has too little memory. */
 std::optional<std::vector<CopyMembers>>
-dealtInTurn(const EngineProfile& aProfile,
-            const Kinds& aReplicas,
-            std::size_t aCopies,
-            double aGoal)
+splitRoundRobin(const EngineProfile& aProfile,
+                const Kinds& aReplicas,
+                std::size_t aCopies,
+                double aTokenTarget)
 {
   std::vector<CopyMembers> copies(aCopies);
   for (std::size_t i = 0; i < aReplicas.size(); ++i) {
     copies[i % aCopies].push_back(i);
   }
-  const bool enough =
+  const bool allFit =
     std::all_of(copies.begin(), copies.end(), [&](const CopyMembers& aCopy) {
-      return tokensOfCopy(aProfile, kindsAt(aReplicas, aCopy), aGoal) >=
-             kCopyOfSeveral * aGoal;
+      return copyTokenCapacity(
+               aProfile, kindsAt(aReplicas, aCopy), aTokenTarget) >=
+             kMinSplitCopyFraction * aTokenTarget;
     });
-  return enough ? std::optional{ copies } : std::nullopt;
+  return allFit ? std::optional{ copies } : std::nullopt;
 }
 
-/** Copies of as few replicas each as keep memory for aTokens, fast ones first.
- * Those that are left over are in none. */
+/** Returns copies of the fewest replicas each that keep memory for aTokens,
+ * taking the fastest replicas first. Those that remain are in no copy. */
 std::vector<CopyMembers>
-fastTogether(const EngineProfile& aProfile,
+groupFastest(const EngineProfile& aProfile,
              const Kinds& aReplicas,
              double aTokens)
 {
@@ -88,9 +93,9 @@
   std::size_t from = 0;
   while (true) {
     const auto holds = [&](std::size_t aTo) {
-      return tokensOfCopy(aProfile,
-                          kindsAt(aReplicas, placesBetween(from, aTo)),
-                          aTokens) >= aTokens;
+      return copyTokenCapacity(aProfile,
+                               kindsAt(aReplicas, indexesBetween(from, aTo)),
+                               aTokens) >= aTokens;
     };
     std::size_t to = from + 1;
     while (to <= aReplicas.size() && !holds(to)) {
@@ -99,24 +104,25 @@
     if (to > aReplicas.size()) {
       return copies;
     }
-    copies.push_back(placesBetween(from, to));
+    copies.push_back(indexesBetween(from, to));
     from = to;
   }
 }
 
-/** Adds a copy of the replicas that are left over if they hold one. */
+/** Adds a copy of the remaining replicas if they can hold one. */
 void
-addRest(const EngineProfile& aProfile,
-        const Kinds& aReplicas,
-        std::vector<CopyMembers>& aCopies,
-        double aGoal)
+addRemainder(const EngineProfile& aProfile,
+             const Kinds& aReplicas,
+             std::vector<CopyMembers>& aCopies,
+             double aTokenTarget)
 {
   const std::size_t from = aCopies.empty() ? 0 : aCopies.back().back() + 1;
-  const CopyMembers rest = placesBetween(from, aReplicas.size());
-  if (!rest.empty() &&
-      tokensOfCopy(aProfile, kindsAt(aReplicas, rest), aGoal) >=
-        kCopyOfSeveral * aGoal) {
-    aCopies.push_back(rest);
+  const CopyMembers remainder = indexesBetween(from, aReplicas.size());
+  if (!remainder.empty() &&
+      copyTokenCapacity(aProfile,
+                        kindsAt(aReplicas, remainder),
+                        aTokenTarget) >= kMinSplitCopyFraction * aTokenTarget) {
+    aCopies.push_back(remainder);
   }
 }
 
@@ -125,30 +131,31 @@
 std::vector<CopyMembers>
 splitCopies(const EngineProfile& aProfile,
             const std::vector<const AcceleratorKind*>& aReplicas,
-            double aGoal)
+            double aTokenTarget)
 {
-  std::vector<CopyMembers> best{ placesBetween(0, aReplicas.size()) };
+  std::vector<CopyMembers> best{ indexesBetween(0, aReplicas.size()) };
   double mostAnswers = 0;
   const auto consider = [&](std::vector<CopyMembers> aCopies) {
     if (aCopies.size() < 2) {
       return;
     }
-    const double answers = answersOf(aProfile, aReplicas, aCopies, aGoal);
+    const double answers =
+      totalAnswersPerSecond(aProfile, aReplicas, aCopies, aTokenTarget);
     if (answers > mostAnswers) {
       mostAnswers = answers;
       best = std::move(aCopies);
     }
   };
   for (std::size_t copies = 2; copies <= aReplicas.size(); ++copies) {
-    auto dealt = dealtInTurn(aProfile, aReplicas, copies, aGoal);
-    if (!dealt) {
+    auto split = splitRoundRobin(aProfile, aReplicas, copies, aTokenTarget);
+    if (!split) {
       break;
     }
-    consider(std::move(*dealt));
+    consider(std::move(*split));
   }
-  for (const double part : kPartsTried) {
-    auto copies = fastTogether(aProfile, aReplicas, part * aGoal);
-    addRest(aProfile, aReplicas, copies, aGoal);
+  for (const double fraction : kFractionsTried) {
+    auto copies = groupFastest(aProfile, aReplicas, fraction * aTokenTarget);
+    addRemainder(aProfile, aReplicas, copies, aTokenTarget);
     consider(std::move(copies));
   }
   return best;
--- a/src/fleet/FasterRange.h
+++ b/src/fleet/FasterRange.h
@@ -9,17 +9,17 @@
 namespace poplartrack {
 
 /**
- * The layers with which a newcomer shortens a token's way the most: those that
- * only slower replicas hold.
+ * Returns the layer range with which a new replica shortens the time of a token
+ * the most, out of the layers that only slower replicas hold.
  *
- * @param aBest step factor of the fastest holder of each layer
- * @param aStepFactor that of the newcomer
- * @param aMost most layers that it may hold
- * @return nothing where no layer is held by clearly slower ones alone
+ * @param aStepFactors step factor of the fastest holder of each layer
+ * @param aStepFactor step factor of the new replica
+ * @param aMaxLayers most layers that the new replica may hold
+ * @return nothing if no layer is held only by clearly slower replicas
  */
 std::optional<LayerRange>
-fasterRange(const std::vector<double>& aBest,
+fasterRange(const std::vector<double>& aStepFactors,
             double aStepFactor,
-            std::uint32_t aMost);
+            std::uint32_t aMaxLayers);
 
 } // namespace poplartrack
--- a/src/fleet/LayerCopy.h
+++ b/src/fleet/LayerCopy.h
@@ -7,26 +7,30 @@
 #include "poplartrack/fleet/EngineProfile.h"
 #include "poplartrack/fleet/Replica.h"
 
-/** What the planner asks of the replicas that hold a copy of a model together.
- * A holder has a replica and the layers that it holds or will hold. */
+/** Helpers of the planner for groups of replicas that hold copies of a model. A
+ * member of a group has a replica and the layers that it holds or will hold. */
 namespace poplartrack::layer_copy {
 
-/** A zone keeps a copy of its own while that has memory for this part of the
- * goal; below it, crossing zones costs less than refusing. */
-inline constexpr double kSmallestCopy = 0.2;
+/** A zone keeps a copy of its own as long as the copy has memory for this
+ * fraction of the token target. Below it, crossing zones costs less than the
+ * requests that would be refused. */
+inline constexpr double kMinCopyFraction = 0.2;
 
-/** Tokens that each replica of a copy is to keep memory for: the usual requests
- * of all its slots. A zone's copy then takes the work of a neighbour zone that
- * lost a part. With less, nearly all memory is booked on a quiet day, and the
- * loss of one replica has requests refused until it is back. */
+/** Returns the tokens that each replica of a copy should keep memory for:
+ * requests of mean length in all slots. The copy of a zone can then take over
+ * the load of another zone that lost a replica. With less, nearly all memory is
+ * reserved even under low load, and the loss of one replica causes refusals
+ * until it is back.
+ */
 inline double
-tokenGoal(const EngineProfile& aProfile)
+tokenTarget(const EngineProfile& aProfile)
 {
   return aProfile.slots *
          (aProfile.meanPromptTokens + aProfile.meanAnswerTokens);
 }
 
-/** The replica's accelerator, or null when its kind is not declared. */
+/** Returns the accelerator of a replica, or null if its kind is not declared.
+ */
 inline const AcceleratorKind*
 kindOf(const EngineProfile& aProfile, const Replica& aReplica)
 {
@@ -34,40 +38,40 @@
   return found == aProfile.kinds.end() ? nullptr : &found->second;
 }
 
-/** The accelerators of some holders. */
-template<typename Holders>
+/** Returns the accelerators of some members. */
+template<typename Members>
 std::vector<const AcceleratorKind*>
-kindsOf(const EngineProfile& aProfile, const Holders& aHolders)
+kindsOf(const EngineProfile& aProfile, const Members& aMembers)
 {
   std::vector<const AcceleratorKind*> kinds;
-  kinds.reserve(aHolders.size());
-  for (const auto* holder : aHolders) {
-    kinds.push_back(kindOf(aProfile, *holder->replica));
+  kinds.reserve(aMembers.size());
+  for (const auto* member : aMembers) {
+    kinds.push_back(kindOf(aProfile, *member->replica));
   }
   return kinds;
 }
 
-/** The members of a group, to be sorted or divided. */
-template<typename Holder>
-std::vector<Holder*>
-pointersTo(std::vector<Holder>& aGroup)
+/** Returns pointers to the members of a group, for sorting or dividing it. */
+template<typename Member>
+std::vector<Member*>
+pointersTo(std::vector<Member>& aGroup)
 {
-  std::vector<Holder*> all;
+  std::vector<Member*> all;
   all.reserve(aGroup.size());
-  for (Holder& holder : aGroup) {
-    all.push_back(&holder);
+  for (Member& member : aGroup) {
+    all.push_back(&member);
   }
   return all;
 }
 
-/** Layers that no member of the group holds, as ranges. */
+/** Returns the layers that no member of the group holds, as ranges. */
 template<typename Group>
 std::vector<LayerRange>
 gapsOf(const Group& aGroup, std::uint32_t aLayers)
 {
   std::vector<bool> held(aLayers, false);
-  for (const auto& holder : aGroup) {
-    for (auto i = holder.layers.from; i < holder.layers.to && i < aLayers;
+  for (const auto& member : aGroup) {
+    for (auto i = member.layers.from; i < member.layers.to && i < aLayers;
          ++i) {
       held[i] = true;
     }
@@ -85,35 +89,36 @@
   return gaps;
 }
 
-/** The last cut point of the group at or before a layer. */
+/** Returns the last boundary of a member's range at or before a layer. */
 template<typename Group>
 std::uint32_t
-cutBefore(const Group& aGroup, std::uint32_t aLayer)
+boundaryBefore(const Group& aGroup, std::uint32_t aLayer)
 {
-  std::uint32_t cut = 0;
-  for (const auto& holder : aGroup) {
-    for (const std::uint32_t point : { holder.layers.from, holder.layers.to }) {
-      if (holder.layers.size() > 0 && point <= aLayer) {
-        cut = std::max(cut, point);
+  std::uint32_t last = 0;
+  for (const auto& member : aGroup) {
+    for (const std::uint32_t boundary :
+         { member.layers.from, member.layers.to }) {
+      if (member.layers.size() > 0 && boundary <= aLayer) {
+        last = std::max(last, boundary);
       }
     }
   }
-  return cut;
+  return last;
 }
 
-/** Step factor of the fastest member that holds each layer, or will once its
- * order is done; that of aNobody where none does. */
+/** Returns, for each layer, the step factor of the fastest member that holds it
+ * or will once its order is done; aUnheld if there is none. */
 template<typename Group>
 std::vector<double>
-fastestByLayer(const EngineProfile& aProfile,
-               const Group& aGroup,
-               double aNobody)
+stepFactorByLayer(const EngineProfile& aProfile,
+                  const Group& aGroup,
+                  double aUnheld)
 {
-  std::vector<double> fastest(aProfile.layers, aNobody);
-  for (const auto& holder : aGroup) {
-    const double step = kindOf(aProfile, *holder.replica)->stepFactor;
-    for (auto i = holder.layers.from;
-         i < holder.layers.to && i < aProfile.layers;
+  std::vector<double> fastest(aProfile.layers, aUnheld);
+  for (const auto& member : aGroup) {
+    const double step = kindOf(aProfile, *member.replica)->stepFactor;
+    for (auto i = member.layers.from;
+         i < member.layers.to && i < aProfile.layers;
          ++i) {
       fastest[i] = std::min(fastest[i], step);
     }
@@ -121,21 +126,22 @@
   return fastest;
 }
 
-/** Tokens that the group can keep at each layer, over all that hold it. */
+/** Returns, for each layer, the tokens that all its holders together have
+ * memory for. */
 template<typename Group>
 std::vector<double>
-tokensByLayer(const EngineProfile& aProfile, const Group& aGroup)
+tokenCapacityByLayer(const EngineProfile& aProfile, const Group& aGroup)
 {
   std::vector<double> tokens(aProfile.layers, 0);
-  for (const auto& holder : aGroup) {
-    if (holder.layers.size() == 0) {
+  for (const auto& member : aGroup) {
+    if (member.layers.size() == 0) {
       continue;
     }
-    const AcceleratorKind& kind = *kindOf(aProfile, *holder.replica);
-    const double free = kind.memoryMb - aProfile.layerMb * holder.layers.size();
+    const AcceleratorKind& kind = *kindOf(aProfile, *member.replica);
+    const double free = kind.memoryMb - aProfile.layerMb * member.layers.size();
     const double each =
-      std::max(0.0, free) / (aProfile.tokenLayerMb() * holder.layers.size());
-    for (auto i = holder.layers.from; i < holder.layers.to; ++i) {
+      std::max(0.0, free) / (aProfile.tokenLayerMb() * member.layers.size());
+    for (auto i = member.layers.from; i < member.layers.to; ++i) {
       tokens[i] += each;
     }
   }
--- a/src/fleet/LayerGap.cpp
+++ b/src/fleet/LayerGap.cpp
@@ -1,4 +1,5 @@
-// How the planner closes gaps: layers of a copy that nobody holds any more.
+// The part of LayerPlanner that closes gaps: layers of a copy that no replica
+// holds any more.
 
 #include <algorithm>
 #include <limits>
@@ -15,79 +16,82 @@
 
 namespace {
 
-/** A replica whose neighbours are missing takes over layers while it keeps
- * memory for this part of the goal. With a larger part the neighbours of a
- * usual gap have no room for it, and the zone is out until the replica is back.
- */
-constexpr double kStretchedCopy = 0.22;
+/** A replica takes over layers of a missing neighbour as long as it keeps
+ * memory for this fraction of the token target. With a larger fraction the
+ * neighbours of a typical gap have no room for it, and the zone is out of
+ * service until the missing replica is back. */
+constexpr double kMinExtendedFraction = 0.22;
 
 } // namespace
 
-/** Tokens that the replica keeps memory for beside so many layers. */
+/** Returns the tokens that the replica has memory for if it holds aLayers
+ * layers. */
 double
-LayerPlanner::tokensBeside(const EngineProfile& aProfile,
-                           const Holder& aHolder,
-                           std::uint32_t aLayers)
+LayerPlanner::tokenCapacityWith(const EngineProfile& aProfile,
+                                const Member& aMember,
+                                std::uint32_t aLayers)
 {
-  const AcceleratorKind& kind = *kindOf(aProfile, *aHolder.replica);
+  const AcceleratorKind& kind = *kindOf(aProfile, *aMember.replica);
   const double free = kind.memoryMb - aProfile.layerMb * aLayers;
   return free / (aProfile.tokenLayerMb() * aLayers);
 }
 
-/** The holders that end where a gap begins, and begin where it ends; of several
- * the one with the most memory. */
+/** Returns the members whose layers end where a gap begins and begin where it
+ * ends. Of several it returns the one with memory for the most tokens. */
 LayerPlanner::Neighbours
 LayerPlanner::neighboursOf(const EngineProfile& aProfile,
                            Group& aGroup,
                            LayerRange aGap)
 {
-  const auto better = [&](const Holder& aOne, const Holder* aOther) {
+  const auto better = [&](const Member& aOne, const Member* aOther) {
     return aOther == nullptr ||
-           tokensBeside(aProfile, aOne, aOne.layers.size() + 1) >
-             tokensBeside(aProfile, *aOther, aOther->layers.size() + 1);
+           tokenCapacityWith(aProfile, aOne, aOne.layers.size() + 1) >
+             tokenCapacityWith(aProfile, *aOther, aOther->layers.size() + 1);
   };
   Neighbours found;
-  for (Holder& holder : aGroup) {
-    if (holder.layers.size() == 0 || holder.moving) {
+  for (Member& member : aGroup) {
+    if (member.layers.size() == 0 || member.pending) {
       continue;
     }
-    if (holder.layers.to == aGap.from && better(holder, found.before)) {
-      found.before = &holder;
+    if (member.layers.to == aGap.from && better(member, found.before)) {
+      found.before = &member;
     }
-    if (holder.layers.from == aGap.to && better(holder, found.behind)) {
-      found.behind = &holder;
+    if (member.layers.from == aGap.to && better(member, found.after)) {
+      found.after = &member;
     }
   }
   return found;
 }
 
-/** The part of a gap that a replica takes so that, of it and the neighbours
- * that take the rest, the one with the least memory left has the most; nothing
- * when one of them would be left with too little. */
+/** Returns the part of a gap that an empty replica takes while the neighbours
+ * take the remainder. Of all ways to divide the gap, it picks the one that
+ * leaves the most tokens to whichever of them has the fewest. Returns nothing
+ * if one of them would keep too little memory. */
 std::optional<LayerRange>
 LayerPlanner::bestShare(const EngineProfile& aProfile,
-                        const Holder& aEmpty,
-                        const Neighbours& aBeside,
+                        const Member& aEmpty,
+                        const Neighbours& aNeighbours,
                         LayerRange aGap)
 {
-  const auto tokensWith = [&](const Holder* aHolder, std::uint32_t aMore) {
+  const auto tokensWith = [&](const Member* aMember, std::uint32_t aMore) {
     if (aMore == 0) {
       return std::numeric_limits<double>::infinity();
     }
-    return aHolder == nullptr
+    return aMember == nullptr
              ? 0.0
-             : tokensBeside(aProfile, *aHolder, aHolder->layers.size() + aMore);
+             : tokenCapacityWith(
+                 aProfile, *aMember, aMember->layers.size() + aMore);
   };
   std::optional<LayerRange> best;
-  double most = kStretchedCopy * tokenGoal(aProfile);
+  double mostTokens = kMinExtendedFraction * tokenTarget(aProfile);
   for (std::uint32_t from = aGap.from; from < aGap.to; ++from) {
     for (std::uint32_t to = from + 1; to <= aGap.to; ++to) {
-      const double least =
-        std::min({ tokensBeside(aProfile, aEmpty, to - from),
-                   tokensWith(aBeside.before, from - aGap.from),
-                   tokensWith(aBeside.behind, aGap.to - to) });
-      if (least > most) {
-        most = least;
+      const double leastTokens =
+        std::min({ tokenCapacityWith(aProfile, aEmpty, to - from),
+                   tokensWith(aNeighbours.before, from - aGap.from),
+                   tokensWith(aNeighbours.after, aGap.to - to) });
+      if (leastTokens > mostTokens) {
+        mostTokens = leastTokens;
         best = LayerRange{ from, to };
       }
     }
@@ -96,56 +100,63 @@
 }
 
 /**
- * Deals a gap to a newcomer and the neighbours together. A replica of a slow
- * kind cannot take the part of a faster one alone: five of eight layers were
- * filled, the last three stayed open, and the zone's other eleven replicas
- * idle, until the next newcomer or the end of the day.
+ * Divides a gap among an empty replica and the neighbours of the gap; false if
+ * they have too little memory. A replica of a slow kind cannot take all layers
+ * of a faster one alone. If it filled only five of eight layers, the last three
+ * would stay open and the other eleven replicas of the zone idle until the next
+ * replica joins.
  */
 bool
 LayerPlanner::shareGap(const EngineProfile& aProfile,
                        Group& aGroup,
-                       Holder& aEmpty,
+                       Member& aEmpty,
                        LayerRange aGap)
 {
-  const Neighbours beside = neighboursOf(aProfile, aGroup, aGap);
-  const auto own = bestShare(aProfile, aEmpty, beside, aGap);
+  const Neighbours neighbours = neighboursOf(aProfile, aGroup, aGap);
+  const auto own = bestShare(aProfile, aEmpty, neighbours, aGap);
   if (!own) {
     return false;
   }
   if (own->from > aGap.from) {
-    this->order(
-      *beside.before, { beside.before->layers.from, own->from }, "stretch");
+    this->issueOrder(*neighbours.before,
+                     { neighbours.before->layers.from, own->from },
+                     "stretch");
   }
   if (own->to < aGap.to) {
-    this->order(
-      *beside.behind, { own->to, beside.behind->layers.to }, "stretch");
+    this->issueOrder(
+      *neighbours.after, { own->to, neighbours.after->layers.to }, "stretch");
   }
-  this->order(aEmpty, *own, "gap");
+  this->issueOrder(aEmpty, *own, "gap");
   return true;
 }
 
+/** Assigns a gap to members without layers, as much to each as it has memory
+ * for. If there is only one and the gap is too large for it, the neighbours of
+ * the gap take the remainder. */
 void
 LayerPlanner::fillGap(const EngineProfile& aProfile,
                       Group& aGroup,
                       LayerRange aGap)
 {
-  for (Holder& holder : aGroup) {
-    const bool free = holder.layers.size() == 0 && !holder.moving;
-    if (free && this->completeZone(aProfile, aGroup, holder, aGap)) {
+  for (Member& member : aGroup) {
+    const bool free = member.layers.size() == 0 && !member.pending;
+    if (free && this->fillZoneGap(aProfile, aGroup, member, aGap)) {
       return;
     }
   }
-  // A newcomer may hold as much as a copy of these replicas is cut for; by the
-  // goal a fast one took less than the one before it had held, and a neighbour
-  // had to stretch over the rest.
-  const double goal = bestTokens(
-    aProfile, kindsOf(aProfile, pointersTo(aGroup)), tokenGoal(aProfile));
+  // Memory is kept for as many tokens as in a newly laid out copy of these
+  // replicas. With the full token target, a fast replica would take fewer
+  // layers than the one it replaces held, and a neighbour would have to take
+  // the others.
+  const double target = bestTokenCapacity(
+    aProfile, kindsOf(aProfile, pointersTo(aGroup)), tokenTarget(aProfile));
   std::uint32_t room = 0;
-  std::vector<Holder*> empty;
-  for (Holder& holder : aGroup) {
-    if (holder.layers.size() == 0 && !holder.moving) {
-      empty.push_back(&holder);
-      room += layersBeside(aProfile, *kindOf(aProfile, *holder.replica), goal);
+  std::vector<Member*> empty;
+  for (Member& member : aGroup) {
+    if (member.layers.size() == 0 && !member.pending) {
+      empty.push_back(&member);
+      room +=
+        layerCapacity(aProfile, *kindOf(aProfile, *member.replica), target);
     }
   }
   const bool isShared = empty.size() == 1 && room < aGap.size() &&
@@ -153,42 +164,42 @@
   if (isShared) {
     return;
   }
-  for (Holder& holder : aGroup) {
-    if (holder.layers.size() > 0 || holder.moving || aGap.size() == 0) {
+  for (Member& member : aGroup) {
+    if (member.layers.size() > 0 || member.pending || aGap.size() == 0) {
       continue;
     }
-    const std::uint32_t most = std::max(
-      layersBeside(aProfile, *kindOf(aProfile, *holder.replica), goal), 1U);
-    const std::uint32_t take = std::min(most, aGap.size());
-    this->order(holder, { aGap.from, aGap.from + take }, "gap");
+    const std::uint32_t maxLayers = std::max(
+      layerCapacity(aProfile, *kindOf(aProfile, *member.replica), target), 1U);
+    const std::uint32_t take = std::min(maxLayers, aGap.size());
+    this->issueOrder(member, { aGap.from, aGap.from + take }, "gap");
     aGap.from += take;
   }
 }
 
 /**
- * Stretches the neighbours of a gap over it. What they hold stays in service
- * meanwhile, and only the gap's layers are loaded: under a second for five. A
- * replica that must give layers up waits until the last answer that passes
- * through them ends, 5 s and more, and is missing until then. Nothing is done
- * when the neighbours cannot fill the gap: paths cross zones for those layers
- * either way.
+ * Extends the neighbours of a gap over it. The layers that they hold stay in
+ * service meanwhile, and only the layers of the gap are loaded, which takes
+ * less than a second for five. A replica that must release layers is instead
+ * missing until the last answer that passes through them ends, 5 s or more.
+ * Does nothing if the neighbours cannot fill the whole gap: paths cross zones
+ * for those layers either way.
  */
 void
-LayerPlanner::stretch(const EngineProfile& aProfile,
-                      Group& aGroup,
-                      LayerRange aGap)
+LayerPlanner::extendNeighbours(const EngineProfile& aProfile,
+                               Group& aGroup,
+                               LayerRange aGap)
 {
-  const double tokens = kStretchedCopy * tokenGoal(aProfile);
-  const auto roomOf = [&](const Holder& aHolder) {
-    const std::uint32_t most =
-      layersBeside(aProfile, *kindOf(aProfile, *aHolder.replica), tokens);
-    const bool free = !aHolder.moving && most > aHolder.layers.size();
-    return free ? most - aHolder.layers.size() : 0U;
+  const double tokens = kMinExtendedFraction * tokenTarget(aProfile);
+  const auto roomOf = [&](const Member& aMember) {
+    const std::uint32_t maxLayers =
+      layerCapacity(aProfile, *kindOf(aProfile, *aMember.replica), tokens);
+    const bool free = !aMember.pending && maxLayers > aMember.layers.size();
+    return free ? maxLayers - aMember.layers.size() : 0U;
   };
-  const auto [before, behind] = neighboursOf(aProfile, aGroup, aGap);
+  const auto [before, after] = neighboursOf(aProfile, aGroup, aGap);
   const std::uint32_t roomBefore = before == nullptr ? 0 : roomOf(*before);
-  const std::uint32_t roomBehind = behind == nullptr ? 0 : roomOf(*behind);
-  const std::uint32_t room = roomBefore + roomBehind;
+  const std::uint32_t roomAfter = after == nullptr ? 0 : roomOf(*after);
+  const std::uint32_t room = roomBefore + roomAfter;
   if (room < aGap.size()) {
     return;
   }
@@ -196,24 +207,24 @@
     std::min(roomBefore, (aGap.size() * roomBefore + room - 1) / room);
   const std::uint32_t middle = aGap.from + first;
   if (before != nullptr && first > 0) {
-    this->order(*before, { before->layers.from, middle }, "stretch");
+    this->issueOrder(*before, { before->layers.from, middle }, "stretch");
   }
-  if (behind != nullptr && middle < aGap.to) {
-    this->order(*behind, { middle, behind->layers.to }, "stretch");
+  if (after != nullptr && middle < aGap.to) {
+    this->issueOrder(*after, { middle, after->layers.to }, "stretch");
   }
 }
 
-/** Whether other replicas of the copy hold all that this one holds. */
+/** Returns whether other members hold all layers of this one. */
 bool
-LayerPlanner::isSecondHolder(const Group& aGroup, const Holder& aHolder)
+LayerPlanner::isRedundant(const Group& aGroup, const Member& aMember)
 {
-  if (aHolder.layers.size() == 0 || aHolder.moving) {
+  if (aMember.layers.size() == 0 || aMember.pending) {
     return false;
   }
-  for (auto layer = aHolder.layers.from; layer < aHolder.layers.to; ++layer) {
+  for (auto layer = aMember.layers.from; layer < aMember.layers.to; ++layer) {
     const bool held =
-      std::any_of(aGroup.begin(), aGroup.end(), [&](const Holder& aOther) {
-        return &aOther != &aHolder && !aOther.moving &&
+      std::any_of(aGroup.begin(), aGroup.end(), [&](const Member& aOther) {
+        return &aOther != &aMember && !aOther.pending &&
                aOther.layers.contains({ layer, layer + 1 });
       });
     if (!held) {
@@ -224,26 +235,26 @@
 }
 
 /**
- * Moves a replica to a gap that neighbours cannot fill, when others hold all
- * that it holds. It is missing until the last answer through it ends, but its
- * layers are not. Without it a zone stays out for want of a few layers, beside
- * replicas that only double others.
+ * Moves a redundant member to a gap that the neighbours cannot fill. The
+ * replica is missing until the last answer through it ends, but others hold its
+ * layers. Otherwise a zone that lacks a few layers stays out of service
+ * although some of its replicas only duplicate others.
  */
 void
-LayerPlanner::moveSecondHolder(const EngineProfile& aProfile,
-                               Group& aGroup,
-                               LayerRange aGap)
+LayerPlanner::moveRedundantMember(const EngineProfile& aProfile,
+                                  Group& aGroup,
+                                  LayerRange aGap)
 {
-  Holder* chosen = nullptr;
-  double most = 0;
-  for (Holder& holder : aGroup) {
-    if (!isSecondHolder(aGroup, holder)) {
+  Member* chosen = nullptr;
+  double mostTokens = 0;
+  for (Member& member : aGroup) {
+    if (!isRedundant(aGroup, member)) {
       continue;
     }
-    const double tokens = tokensBeside(aProfile, holder, aGap.size());
-    if (chosen == nullptr || tokens > most) {
-      chosen = &holder;
-      most = tokens;
+    const double tokens = tokenCapacityWith(aProfile, member, aGap.size());
+    if (chosen == nullptr || tokens > mostTokens) {
+      chosen = &member;
+      mostTokens = tokens;
     }
   }
   if (chosen == nullptr) {
--- a/src/fleet/LayerPartition.h
+++ b/src/fleet/LayerPartition.h
@@ -8,29 +8,33 @@
 
 namespace poplartrack {
 
-/** Most layers that an accelerator holds beside memory for so many tokens. */
+/** Returns the most layers that an accelerator holds while it keeps memory for
+ * aTokens tokens. */
 std::uint32_t
-layersBeside(const EngineProfile& aProfile,
-             const AcceleratorKind& aKind,
-             double aTokens);
+layerCapacity(const EngineProfile& aProfile,
+              const AcceleratorKind& aKind,
+              double aTokens);
 
-/** Tokens that each replica of one copy can keep when the layers are cut for
- * that; 0 when the replicas cannot hold all layers. At most aMost. */
+/** Returns the most tokens, up to aMaxTokens, that every replica of one copy
+ * can keep memory for; 0 if the replicas cannot hold all layers. */
 double
-tokensOfCopy(const EngineProfile& aProfile,
-             const std::vector<const AcceleratorKind*>& aReplicas,
-             double aMost);
+copyTokenCapacity(const EngineProfile& aProfile,
+                  const std::vector<const AcceleratorKind*>& aReplicas,
+                  double aMaxTokens);
 
-/** Layers for each replica of one copy, in its order; they add up to aLayers.
- * Empty when the replicas cannot hold them beside aTokens. */
+/** Returns the number of layers for each replica of one copy, in the given
+ * order; they add up to aLayers. Fast accelerators get as many as they can hold
+ * while they keep memory for aTokens tokens. Empty if the replicas cannot hold
+ * aLayers layers then. */
 std::vector<std::uint32_t>
-cutLayers(const EngineProfile& aProfile,
-          const std::vector<const AcceleratorKind*>& aReplicas,
-          double aTokens,
-          std::uint32_t aLayers);
+partitionLayers(const EngineProfile& aProfile,
+                const std::vector<const AcceleratorKind*>& aReplicas,
+                double aTokens,
+                std::uint32_t aLayers);
 
-/** Answers that replicas with so many layers each give in a second when they
- * keep aTokens of usual requests: each token takes one pass of every part. */
+/** Returns the answers per second of replicas that hold aCounts layers each
+ * while aTokens tokens of mean requests fill their memory. Each token takes one
+ * decode step of every replica. */
 double
 answersPerSecond(const EngineProfile& aProfile,
                  const std::vector<const AcceleratorKind*>& aReplicas,
@@ -38,32 +42,34 @@
                  double aTokens);
 
 /**
- * Tokens that a copy of these replicas is best cut for, at most aMost: those
- * with which it gives the most answers in a second when it is full of requests.
- * With less memory for requests fast accelerators hold more layers, and each
- * request leaves sooner. 0 when the replicas cannot hold all layers.
+ * Returns the token capacity, up to aMaxTokens, with which a copy of these
+ * replicas gives the most answers per second when it is full of requests. With
+ * a smaller capacity fast accelerators hold more layers, and each request ends
+ * sooner. 0 if the replicas cannot hold all layers.
  */
 double
-bestTokens(const EngineProfile& aProfile,
-           const std::vector<const AcceleratorKind*>& aReplicas,
-           double aMost);
+bestTokenCapacity(const EngineProfile& aProfile,
+                  const std::vector<const AcceleratorKind*>& aReplicas,
+                  double aMaxTokens);
 
-/** A replica of a copy that is cut anew. */
-struct CutMember
+/** A replica of a copy that is partitioned again. */
+struct RepartitionMember
 {
-  /** What it holds now; empty when it holds nothing. */
+  /** The layers that it holds now; empty if none. */
   LayerRange held;
-  /** Most layers that it may take. */
-  std::uint32_t most = 0;
+  /** Most layers that it may get. */
+  std::uint32_t maxLayers = 0;
 };
 
 /**
- * New ranges for the members, in their order, that cover all layers with the
- * least loading. A member that gets no range keeps what it holds, beside the
- * others. Loading is weighed against memory: a member near its most has little
- * left for requests. Empty when the members cannot hold all layers.
+ * Returns new ranges for the members, in their order, that cover all layers at
+ * the least cost. The cost weighs loading against memory: a member near its
+ * maximum has little memory left for requests. A member that gets an empty
+ * range keeps the layers that it holds, in addition to the others. The result
+ * is empty if the members cannot hold all layers.
  */
 std::vector<LayerRange>
-recutLayers(std::uint32_t aLayers, const std::vector<CutMember>& aMembers);
+repartitionLayers(std::uint32_t aLayers,
+                  const std::vector<RepartitionMember>& aMembers);
 
 } // namespace poplartrack
--- a/src/fleet/LayerPlanner.cpp
+++ b/src/fleet/LayerPlanner.cpp
@@ -16,192 +16,206 @@
 void
 LayerPlanner::reset()
 {
-  this->open.clear();
+  this->openOrders.clear();
   this->gapSince.clear();
 }
 
+/** Records which replicas are listed. Returns whether planning may begin: some
+ * replica holds layers, an order is open, or registrations have paused or gone
+ * on for the longest wait. */
 bool
-LayerPlanner::settled(std::span<const Replica> aReplicas, TimePoint aNow)
+LayerPlanner::registrationSettled(std::span<const Replica> aReplicas,
+                                  TimePoint aNow)
 {
   std::map<std::string, TimePoint> present;
   bool anyHolds = false;
   for (const Replica& replica : aReplicas) {
-    const auto before = this->known.find(replica.id);
-    const bool isNew = before == this->known.end();
+    const auto before = this->joinedAt.find(replica.id);
+    const bool isNew = before == this->joinedAt.end();
     present.emplace(replica.id, isNew ? aNow : before->second);
     anyHolds = anyHolds || replica.layers.has_value();
     if (isNew) {
       this->lastJoined = aNow;
     }
   }
-  if (this->known.empty() && !present.empty()) {
-    this->firstSeen = aNow;
+  if (this->joinedAt.empty() && !present.empty()) {
+    this->firstJoined = aNow;
   }
-  this->known = std::move(present);
-  if (anyHolds || !this->open.empty()) {
+  this->joinedAt = std::move(present);
+  if (anyHolds || !this->openOrders.empty()) {
     return true;
   }
-  return aNow - this->lastJoined >= this->policy.settle ||
-         aNow - this->firstSeen >= this->policy.settleMost;
+  return aNow - this->lastJoined >= this->policy.registrationQuietTime ||
+         aNow - this->firstJoined >= this->policy.maxRegistrationWait;
 }
 
+/** Removes open orders that are carried out or timed out, and backoffs that
+ * have ended. */
 void
-LayerPlanner::settleOrders(const EngineProfile& aProfile,
-                           std::span<const Replica> aReplicas,
-                           TimePoint aNow)
+LayerPlanner::pruneOrders(const EngineProfile& aProfile,
+                          std::span<const Replica> aReplicas,
+                          TimePoint aNow)
 {
-  std::map<std::string, OpenOrder> still;
+  std::map<std::string, OpenOrder> remaining;
   for (const Replica& replica : aReplicas) {
-    const auto found = this->open.find(replica.id);
-    if (found == this->open.end()) {
+    const auto found = this->openOrders.find(replica.id);
+    if (found == this->openOrders.end()) {
       continue;
     }
     const bool done = replica.layers == found->second.layers;
-    const Duration allowed = this->policy.orderPatience + aProfile.loadTime;
+    const Duration allowed = this->policy.orderTimeout + aProfile.loadTime;
     if (!done && aNow - found->second.since < allowed) {
-      still.insert(*found);
+      remaining.insert(*found);
     }
   }
-  this->open = std::move(still);
-  std::erase_if(this->refused, [&](const auto& aEntry) {
-    return aNow - aEntry.second >= this->policy.refusedRest;
+  this->openOrders = std::move(remaining);
+  std::erase_if(this->refusedAt, [&](const auto& aEntry) {
+    return aNow - aEntry.second >= this->policy.refusalBackoff;
   });
 }
 
+/** Groups the replicas of declared accelerator kinds by zone. Zones with too
+ * little memory for a copy of their own share one group. */
 std::vector<LayerPlanner::Group>
-LayerPlanner::groups(const EngineProfile& aProfile,
-                     std::span<const Replica> aReplicas) const
+LayerPlanner::groupReplicas(const EngineProfile& aProfile,
+                            std::span<const Replica> aReplicas) const
 {
   std::map<std::string, Group> byZone;
   for (const Replica& replica : aReplicas) {
     if (kindOf(aProfile, replica) == nullptr) {
       continue;
     }
-    Holder holder;
-    holder.replica = &replica;
-    const auto found = this->open.find(replica.id);
-    const bool ordered = found != this->open.end();
-    const auto rests = this->refused.find(replica.id);
-    holder.moving =
-      ordered || (rests != this->refused.end() &&
-                  this->now - rests->second < this->policy.refusedRest);
+    Member member;
+    member.replica = &replica;
+    const auto found = this->openOrders.find(replica.id);
+    const bool ordered = found != this->openOrders.end();
+    const auto refusal = this->refusedAt.find(replica.id);
+    member.pending =
+      ordered || (refusal != this->refusedAt.end() &&
+                  this->now - refusal->second < this->policy.refusalBackoff);
     if (ordered) {
-      holder.layers = found->second.layers;
+      member.layers = found->second.layers;
     } else if (replica.layers) {
-      holder.layers = *replica.layers;
+      member.layers = *replica.layers;
     }
-    byZone[replica.zone].push_back(holder);
+    byZone[replica.zone].push_back(member);
   }
-  std::vector<Group> whole;
-  Group shared;
-  const double goal = tokenGoal(aProfile);
+  std::vector<Group> copyGroups;
+  Group sharedGroup;
+  const double target = tokenTarget(aProfile);
   for (auto& [zone, group] : byZone) {
     const double tokens =
-      tokensOfCopy(aProfile, kindsOf(aProfile, pointersTo(group)), goal);
-    if (tokens >= kSmallestCopy * goal) {
-      whole.push_back(std::move(group));
+      copyTokenCapacity(aProfile, kindsOf(aProfile, pointersTo(group)), target);
+    if (tokens >= kMinCopyFraction * target) {
+      copyGroups.push_back(std::move(group));
       continue;
     }
-    shared.insert(shared.end(), group.begin(), group.end());
+    sharedGroup.insert(sharedGroup.end(), group.begin(), group.end());
   }
-  if (!shared.empty()) {
-    whole.push_back(std::move(shared));
+  if (!sharedGroup.empty()) {
+    copyGroups.push_back(std::move(sharedGroup));
   }
-  return whole;
+  return copyGroups;
 }
 
+/** Adds an order to the plan, unless the member has these layers already. */
 void
-LayerPlanner::order(Holder& aHolder, LayerRange aLayers, const char* aReason)
+LayerPlanner::issueOrder(Member& aMember,
+                         LayerRange aLayers,
+                         const char* aReason)
 {
-  if (aLayers.size() == 0 || aHolder.layers == aLayers) {
+  if (aLayers.size() == 0 || aMember.layers == aLayers) {
     return;
   }
-  aHolder.layers = aLayers;
-  aHolder.moving = true;
-  this->open.insert_or_assign(aHolder.replica->id,
-                              OpenOrder{ aLayers, this->now });
-  this->orders.push_back(LayerOrder{ aHolder.replica->id, aLayers, aReason });
+  aMember.layers = aLayers;
+  aMember.pending = true;
+  this->openOrders.insert_or_assign(aMember.replica->id,
+                                    OpenOrder{ aLayers, this->now });
+  this->orders.push_back(LayerOrder{ aMember.replica->id, aLayers, aReason });
 }
 
+/** Divides all layers among the members of one copy, in their order. */
 void
-LayerPlanner::drawChain(const EngineProfile& aProfile,
-                        std::vector<Holder*>& aChain)
+LayerPlanner::layOutCopy(const EngineProfile& aProfile,
+                         std::vector<Member*>& aMembers)
 {
-  const auto kinds = kindsOf(aProfile, aChain);
+  const auto kinds = kindsOf(aProfile, aMembers);
   const auto counts =
-    cutLayers(aProfile,
-              kinds,
-              bestTokens(aProfile, kinds, tokenGoal(aProfile)),
-              aProfile.layers);
+    partitionLayers(aProfile,
+                    kinds,
+                    bestTokenCapacity(aProfile, kinds, tokenTarget(aProfile)),
+                    aProfile.layers);
   if (counts.empty()) {
     return;
   }
   std::uint32_t from = 0;
-  for (std::size_t i = 0; i < aChain.size(); ++i) {
-    this->order(*aChain[i], { from, from + counts[i] }, "first plan");
+  for (std::size_t i = 0; i < aMembers.size(); ++i) {
+    this->issueOrder(*aMembers[i], { from, from + counts[i] }, "first plan");
     from += counts[i];
   }
 }
 
-/** Draws a group of several zones, each too small for a copy of its own; false
- * when it is one zone, or together they hold not every layer. */
+/** Lays out a group of several zones that are each too small for a copy of
+ * their own. Returns false if the group is one zone or cannot hold all layers.
+ */
 bool
-LayerPlanner::drawStaggered(const EngineProfile& aProfile,
-                            const std::vector<Holder*>& aFastFirst)
+LayerPlanner::layOutPartialCopies(const EngineProfile& aProfile,
+                                  const std::vector<Member*>& aFastFirst)
 {
-  std::map<std::string, std::vector<Holder*>> byZone;
-  for (Holder* holder : aFastFirst) {
-    byZone[holder->replica->zone].push_back(holder);
+  std::map<std::string, std::vector<Member*>> byZone;
+  for (Member* member : aFastFirst) {
+    byZone[member->replica->zone].push_back(member);
   }
   if (byZone.size() < 2) {
     return false;
   }
   std::vector<std::vector<const AcceleratorKind*>> kinds;
   kinds.reserve(byZone.size());
-  for (const auto& [zone, holders] : byZone) {
-    kinds.push_back(kindsOf(aProfile, holders));
+  for (const auto& [zone, members] : byZone) {
+    kinds.push_back(kindsOf(aProfile, members));
   }
-  const StaggeredCopies copies = staggerCopies(aProfile, kinds);
+  const PartialCopies copies = planPartialCopies(aProfile, kinds);
   if (copies.rate <= 0) {
     return false;
   }
   auto layers = copies.layers.begin();
-  for (const auto& [zone, holders] : byZone) {
-    for (std::size_t i = 0; i < holders.size(); ++i) {
-      this->order(*holders[i], (*layers)[i], "first plan");
+  for (const auto& [zone, members] : byZone) {
+    for (std::size_t i = 0; i < members.size(); ++i) {
+      this->issueOrder(*members[i], (*layers)[i], "first plan");
     }
     ++layers;
   }
   return true;
 }
 
+/** Lays out a group in which no replica holds layers yet. */
 void
-LayerPlanner::draw(const EngineProfile& aProfile, Group& aGroup)
+LayerPlanner::layOutCopies(const EngineProfile& aProfile, Group& aGroup)
 {
   auto all = pointersTo(aGroup);
-  // Fast accelerators first, then by zone and id: the same plan from the same
-  // replicas, whoever draws it.
+  // Fast accelerators first, then by zone and id: every process derives the
+  // same plan from the same replicas.
   std::sort(
-    all.begin(), all.end(), [&](const Holder* aLeft, const Holder* aRight) {
-      const auto rank = [&](const Holder* aHolder) {
-        return std::tuple{ kindOf(aProfile, *aHolder->replica)->stepFactor,
-                           aHolder->replica->zone,
-                           aHolder->replica->id };
+    all.begin(), all.end(), [&](const Member* aLeft, const Member* aRight) {
+      const auto rank = [&](const Member* aMember) {
+        return std::tuple{ kindOf(aProfile, *aMember->replica)->stepFactor,
+                           aMember->replica->zone,
+                           aMember->replica->id };
       };
       return rank(aLeft) < rank(aRight);
     });
-  if (this->drawStaggered(aProfile, all)) {
+  if (this->layOutPartialCopies(aProfile, all)) {
     return;
   }
   const auto copies =
-    splitCopies(aProfile, kindsOf(aProfile, all), tokenGoal(aProfile));
+    splitCopies(aProfile, kindsOf(aProfile, all), tokenTarget(aProfile));
   for (const CopyMembers& members : copies) {
-    std::vector<Holder*> chain;
-    chain.reserve(members.size());
-    for (const std::size_t place : members) {
-      chain.push_back(all[place]);
+    std::vector<Member*> copyMembers;
+    copyMembers.reserve(members.size());
+    for (const std::size_t index : members) {
+      copyMembers.push_back(all[index]);
     }
-    this->drawChain(aProfile, chain);
+    this->layOutCopy(aProfile, copyMembers);
   }
 }
 
@@ -213,23 +227,23 @@
                    TimePoint aNow)
 {
   this->now = aNow;
-  this->patience =
-    aUncertain ? this->policy.doubtPatience : this->policy.gapPatience;
+  this->repairDelay = aUncertain ? this->policy.uncertainGapRepairDelay
+                                 : this->policy.gapRepairDelay;
   this->orders.clear();
   this->openGaps.clear();
-  const bool ready = this->settled(aReplicas, aNow);
-  this->settleOrders(aProfile, aReplicas, aNow);
+  const bool ready = this->registrationSettled(aReplicas, aNow);
+  this->pruneOrders(aProfile, aReplicas, aNow);
   if (!ready) {
     return {};
   }
-  auto zones = this->groups(aProfile, aReplicas);
-  for (Group& group : zones) {
+  auto groups = this->groupReplicas(aProfile, aReplicas);
+  for (Group& group : groups) {
     const bool empty =
-      std::all_of(group.begin(), group.end(), [](const Holder& aHolder) {
-        return aHolder.layers.size() == 0;
+      std::all_of(group.begin(), group.end(), [](const Member& aMember) {
+        return aMember.layers.size() == 0;
       });
     if (empty) {
-      this->draw(aProfile, group);
+      this->layOutCopies(aProfile, group);
       continue;
     }
     this->repair(aProfile, group, aBusy);
@@ -237,7 +251,7 @@
       this->openGaps.push_back(CopyGap{ group.front().replica->zone, gap });
     }
   }
-  this->rescue(aProfile, zones);
+  this->restoreCoverage(aProfile, groups);
   return std::exchange(this->orders, {});
 }
 
--- a/src/fleet/LayerRepair.cpp
+++ b/src/fleet/LayerRepair.cpp
@@ -1,5 +1,5 @@
-// How the planner keeps copies whole: what it takes back, cuts anew, and gives
-// to newcomers.
+// The part of LayerPlanner that keeps copies complete: it assigns layers to
+// empty replicas, shrinks extended ones and partitions damaged copies again.
 
 #include <algorithm>
 
@@ -13,144 +13,151 @@
 
 namespace {
 
-/** What was stretched is taken back to this part of the goal. Below the half
- * for which zones with several copies are cut: above it, these would take their
- * own second copies for stretched ones and give layers up again. */
-constexpr double kKeptCopy = 0.45;
+/** Extended replicas shrink until they keep memory for this fraction of the
+ * token target. It has to stay below the 0.5 that zones with several copies are
+ * laid out for. Above that, their replicas would count as extended, because the
+ * other copy holds the same layers, and would release layers again. */
+constexpr double kShrinkFraction = 0.45;
 
-/** When no replica anywhere holds a layer, a copy is cut anew for this part of
- * the tokens that it could keep at most; the rest is room to leave most of it
- * in place. */
-constexpr double kRecutCopy = 0.75;
+/** A copy that is partitioned again keeps memory for at least this fraction of
+ * the most tokens that it could keep. The remaining memory leaves most layers
+ * where they are. */
+constexpr double kRepartitionFraction = 0.75;
 
 } // namespace
 
-/** Takes back what was stretched once others of the zone hold those layers
- * again: memory for requests is worth more than a second holder at the edge of
- * a part. Only from a replica through which nothing passes: it refuses all work
- * until the last answer through the layers that it gives up ends, and its zone
- * is out for as long. */
+/** Removes layers from an extended replica once others of its zone hold them
+ * again: memory for requests is worth more than a second replica with the same
+ * layers. Only a replica that carries no requests shrinks. One that does would
+ * refuse all work until the last answer through the released layers ends, and
+ * its zone would be out of service as long. */
 void
 LayerPlanner::shrink(const EngineProfile& aProfile,
                      Group& aGroup,
                      const std::set<std::string>& aBusy)
 {
-  for (Holder& holder : aGroup) {
-    const std::uint32_t most = layersBeside(aProfile,
-                                            *kindOf(aProfile, *holder.replica),
-                                            kKeptCopy * tokenGoal(aProfile));
-    if (holder.moving || holder.layers.size() <= most ||
-        aBusy.contains(holder.replica->id)) {
+  for (Member& member : aGroup) {
+    const std::uint32_t maxLayers =
+      layerCapacity(aProfile,
+                    *kindOf(aProfile, *member.replica),
+                    kShrinkFraction * tokenTarget(aProfile));
+    if (member.pending || member.layers.size() <= maxLayers ||
+        aBusy.contains(member.replica->id)) {
       continue;
     }
-    LayerRange kept = holder.layers;
-    const auto others = [&](std::uint32_t aLayer) {
+    LayerRange kept = member.layers;
+    const auto heldByOthers = [&](std::uint32_t aLayer) {
       return std::any_of(
-        aGroup.begin(), aGroup.end(), [&](const Holder& aOther) {
-          return &aOther != &holder && !aOther.moving &&
-                 aOther.replica->zone == holder.replica->zone &&
+        aGroup.begin(), aGroup.end(), [&](const Member& aOther) {
+          return &aOther != &member && !aOther.pending &&
+                 aOther.replica->zone == member.replica->zone &&
                  aOther.layers.contains({ aLayer, aLayer + 1 });
         });
     };
-    while (kept.size() > most && others(kept.from)) {
+    while (kept.size() > maxLayers && heldByOthers(kept.from)) {
       ++kept.from;
     }
-    while (kept.size() > most && others(kept.to - 1)) {
+    while (kept.size() > maxLayers && heldByOthers(kept.to - 1)) {
       --kept.to;
     }
-    if (kept != holder.layers) {
-      // One at a time: two that hold the same layers must not both leave them.
-      this->order(holder, kept, "shrink");
+    if (kept != member.layers) {
+      // One replica at a time: two that hold the same layers must not both
+      // release them.
+      this->issueOrder(member, kept, "shrink");
       return;
     }
   }
 }
 
 /**
- * Whether a copy that nothing else makes whole is cut anew over those that are
- * left. Its parts are missing until the last answers through them end, but only
- * paths that cross zones lead through them. Left as it is, a zone whose
- * neighbours of the gap have no room for it stays out, and the others' memory
- * is too little for its callers.
+ * Returns whether a copy with gaps is partitioned again: nothing else is under
+ * way to complete it, and the remaining replicas have enough memory. Replicas
+ * that move are missing until the last answers through them end, but only paths
+ * that cross zones use them. Otherwise a zone whose gap is too large for its
+ * neighbours stays out of service, and the other zones have too little memory
+ * for its callers.
  */
 bool
-LayerPlanner::worthRecut(const EngineProfile& aProfile, Group& aGroup)
+LayerPlanner::shouldRepartition(const EngineProfile& aProfile, Group& aGroup)
 {
-  const bool open =
+  const bool gapRemains =
     !gapsOf(aGroup, aProfile.layers).empty() &&
-    std::none_of(aGroup.begin(), aGroup.end(), [](const Holder& aHolder) {
-      return aHolder.moving;
+    std::none_of(aGroup.begin(), aGroup.end(), [](const Member& aMember) {
+      return aMember.pending;
     });
-  const double goal = tokenGoal(aProfile);
-  return open &&
-         tokensOfCopy(aProfile, kindsOf(aProfile, pointersTo(aGroup)), goal) >=
-           kSmallestCopy * goal;
+  const double target = tokenTarget(aProfile);
+  return gapRemains && copyTokenCapacity(aProfile,
+                                         kindsOf(aProfile, pointersTo(aGroup)),
+                                         target) >= kMinCopyFraction * target;
 }
 
-/** Cuts a copy anew over those that are left of it. */
+/** Partitions all layers again among the members of a group, with little
+ * loading. */
 void
-LayerPlanner::recut(const EngineProfile& aProfile, Group& aGroup)
+LayerPlanner::repartition(const EngineProfile& aProfile, Group& aGroup)
 {
   auto all = pointersTo(aGroup);
   std::stable_sort(
-    all.begin(), all.end(), [](const Holder* aLeft, const Holder* aRight) {
+    all.begin(), all.end(), [](const Member* aLeft, const Member* aRight) {
       return aLeft->layers < aRight->layers;
     });
   const double tokens =
-    kRecutCopy *
-    tokensOfCopy(aProfile, kindsOf(aProfile, all), tokenGoal(aProfile));
-  std::vector<CutMember> members;
-  for (const Holder* holder : all) {
-    const AcceleratorKind& kind = *kindOf(aProfile, *holder->replica);
-    members.push_back(
-      CutMember{ holder->layers, layersBeside(aProfile, kind, tokens) });
+    kRepartitionFraction *
+    copyTokenCapacity(aProfile, kindsOf(aProfile, all), tokenTarget(aProfile));
+  std::vector<RepartitionMember> members;
+  for (const Member* member : all) {
+    const AcceleratorKind& kind = *kindOf(aProfile, *member->replica);
+    members.push_back(RepartitionMember{
+      member->layers, layerCapacity(aProfile, kind, tokens) });
   }
-  const auto ranges = recutLayers(aProfile.layers, members);
+  const auto ranges = repartitionLayers(aProfile.layers, members);
   for (std::size_t i = 0; i < ranges.size(); ++i) {
-    this->order(*all[i], ranges[i], "recut");
+    this->issueOrder(*all[i], ranges[i], "recut");
   }
 }
 
 /**
- * Gives a newcomer what its zone lacks where several zones share the layers:
- * what the one before it held, as a rule. Doubled elsewhere, each layer of the
- * model had a holder in some zone, but paths had to cross twice for the part
- * that was lost. Of several stretches it takes the largest that it closes, of
- * those with layers that nobody holds if some are named. False when there is
- * none.
+ * Assigns layers that its zone lacks to an empty replica, where several zones
+ * share the layers. As a rule they are those that its predecessor held. If the
+ * replica duplicated other layers instead, each layer would still be held in
+ * some zone, but paths would have to cross twice for the lost ones.
+ *
+ * Picks the largest gap of the zone that the replica can fill, or the largest
+ * of all if it can fill none. With aMissing, only gaps count that the replica
+ * can fill and that include those layers. Returns false if there is no such
+ * gap, or if the group is one zone.
  */
 bool
-LayerPlanner::completeZone(const EngineProfile& aProfile,
-                           const Group& aGroup,
-                           Holder& aEmpty,
-                           std::optional<LayerRange> aMissing)
+LayerPlanner::fillZoneGap(const EngineProfile& aProfile,
+                          const Group& aGroup,
+                          Member& aEmpty,
+                          std::optional<LayerRange> aMissing)
 {
   Group zone;
-  double tokens = tokenGoal(aProfile);
-  for (const Holder& holder : aGroup) {
-    if (holder.replica->zone != aEmpty.replica->zone) {
+  double tokens = tokenTarget(aProfile);
+  for (const Member& member : aGroup) {
+    if (member.replica->zone != aEmpty.replica->zone) {
       continue;
     }
-    zone.push_back(holder);
-    if (holder.layers.size() > 0) {
-      tokens =
-        std::min(tokens, tokensBeside(aProfile, holder, holder.layers.size()));
+    zone.push_back(member);
+    if (member.layers.size() > 0) {
+      tokens = std::min(
+        tokens, tokenCapacityWith(aProfile, member, member.layers.size()));
     }
   }
   if (zone.size() == aGroup.size()) {
     return false;
   }
-  const std::uint32_t most = std::max(
-    layersBeside(aProfile, *kindOf(aProfile, *aEmpty.replica), tokens), 1U);
+  const std::uint32_t maxLayers = std::max(
+    layerCapacity(aProfile, *kindOf(aProfile, *aEmpty.replica), tokens), 1U);
   LayerRange best;
   for (const LayerRange& gap : gapsOf(zone, aProfile.layers)) {
-    const bool closes = gap.size() <= most;
-    if (aMissing && !(closes && gap.contains(*aMissing))) {
+    const bool fits = gap.size() <= maxLayers;
+    if (aMissing && !(fits && gap.contains(*aMissing))) {
       continue;
     }
-    const bool bestCloses = best.size() > 0 && best.size() <= most;
-    const bool better =
-      closes == bestCloses ? gap.size() > best.size() : closes;
+    const bool bestFits = best.size() > 0 && best.size() <= maxLayers;
+    const bool better = fits == bestFits ? gap.size() > best.size() : fits;
     if (best.size() == 0 || better) {
       best = gap;
     }
@@ -158,127 +165,137 @@
   if (best.size() == 0) {
     return false;
   }
-  this->order(
-    aEmpty, { best.from, best.from + std::min(most, best.size()) }, "zone");
+  this->issueOrder(aEmpty,
+                   { best.from, best.from + std::min(maxLayers, best.size()) },
+                   "zone");
   return true;
 }
 
+/** Assigns layers to a replica without any: a gap of its zone, else layers that
+ * only slower replicas hold. After a delay it duplicates the layers with memory
+ * for the fewest tokens. */
 void
-LayerPlanner::employ(const EngineProfile& aProfile,
-                     Group& aGroup,
-                     Holder& aEmpty)
+LayerPlanner::assignEmpty(const EngineProfile& aProfile,
+                          Group& aGroup,
+                          Member& aEmpty)
 {
-  if (this->completeZone(aProfile, aGroup, aEmpty, std::nullopt) ||
-      this->placeFaster(aProfile, aGroup, aEmpty)) {
+  if (this->fillZoneGap(aProfile, aGroup, aEmpty, std::nullopt) ||
+      this->assignFasterRange(aProfile, aGroup, aEmpty)) {
     return;
   }
-  const auto joined = this->known.find(aEmpty.replica->id);
-  const bool waits = joined != this->known.end() &&
-                     this->now - joined->second < this->policy.doublePatience;
+  const auto joined = this->joinedAt.find(aEmpty.replica->id);
+  const bool waits = joined != this->joinedAt.end() &&
+                     this->now - joined->second < this->policy.duplicateDelay;
   if (waits) {
     return;
   }
-  // The weakest layer bounds the copy.
-  const std::vector<double> tokens = tokensByLayer(aProfile, aGroup);
+  // The layer with memory for the fewest tokens bounds the copy.
+  const std::vector<double> tokens = tokenCapacityByLayer(aProfile, aGroup);
   const auto weakest = static_cast<std::uint32_t>(
     std::min_element(tokens.begin(), tokens.end()) - tokens.begin());
-  const std::uint32_t most = std::max(
-    layersBeside(
-      aProfile, *kindOf(aProfile, *aEmpty.replica), tokenGoal(aProfile)),
+  const std::uint32_t maxLayers = std::max(
+    layerCapacity(
+      aProfile, *kindOf(aProfile, *aEmpty.replica), tokenTarget(aProfile)),
     1U);
-  const std::uint32_t from = cutBefore(aGroup, weakest);
-  std::uint32_t to = std::min(from + most, aProfile.layers);
+  const std::uint32_t from = boundaryBefore(aGroup, weakest);
+  std::uint32_t to = std::min(from + maxLayers, aProfile.layers);
   if (to <= weakest) {
-    this->order(
-      aEmpty, { weakest, std::min(weakest + most, aProfile.layers) }, "double");
+    this->issueOrder(
+      aEmpty,
+      { weakest, std::min(weakest + maxLayers, aProfile.layers) },
+      "double");
     return;
   }
-  // Same cut points as the parts that it doubles: it is then exchangeable with
-  // them.
-  const std::uint32_t snapped = cutBefore(aGroup, to);
+  // With the same boundaries, the replica can replace those that it duplicates.
+  const std::uint32_t snapped = boundaryBefore(aGroup, to);
   to = snapped > weakest ? snapped : to;
-  this->order(aEmpty, { from, to }, "double");
+  this->issueOrder(aEmpty, { from, to }, "double");
 }
 
+/** Closes the gaps of a group and assigns layers to its empty replicas. The
+ * longer a gap lasts, the more layers may move for it. Shrinks an extended
+ * replica if there was no gap and no order is open. */
 void
 LayerPlanner::repair(const EngineProfile& aProfile,
                      Group& aGroup,
                      const std::set<std::string>& aBusy)
 {
-  const std::string& name = aGroup.front().replica->zone;
+  const std::string& zone = aGroup.front().replica->zone;
   const auto gaps = gapsOf(aGroup, aProfile.layers);
   for (const LayerRange& gap : gaps) {
     this->fillGap(aProfile, aGroup, gap);
   }
-  const auto left = gapsOf(aGroup, aProfile.layers);
-  if (left.empty()) {
-    this->gapSince.erase(name);
+  const auto remaining = gapsOf(aGroup, aProfile.layers);
+  if (remaining.empty()) {
+    this->gapSince.erase(zone);
   } else {
     const auto since =
-      this->gapSince.try_emplace(name, this->now).first->second;
-    if (this->now - since >= this->patience) {
-      for (const LayerRange& gap : left) {
-        this->stretch(aProfile, aGroup, gap);
+      this->gapSince.try_emplace(zone, this->now).first->second;
+    if (this->now - since >= this->repairDelay) {
+      for (const LayerRange& gap : remaining) {
+        this->extendNeighbours(aProfile, aGroup, gap);
       }
       for (const LayerRange& gap : gapsOf(aGroup, aProfile.layers)) {
-        this->moveSecondHolder(aProfile, aGroup, gap);
+        this->moveRedundantMember(aProfile, aGroup, gap);
       }
     }
-    if (this->now - since >= this->policy.recutPatience &&
-        this->worthRecut(aProfile, aGroup)) {
-      this->recut(aProfile, aGroup);
+    if (this->now - since >= this->policy.repartitionDelay &&
+        this->shouldRepartition(aProfile, aGroup)) {
+      this->repartition(aProfile, aGroup);
     }
   }
-  for (Holder& holder : aGroup) {
-    if (holder.layers.size() == 0 && !holder.moving) {
-      this->employ(aProfile, aGroup, holder);
+  for (Member& member : aGroup) {
+    if (member.layers.size() == 0 && !member.pending) {
+      this->assignEmpty(aProfile, aGroup, member);
     }
   }
-  const bool calm =
+  const bool stable =
     gaps.empty() &&
-    std::none_of(aGroup.begin(), aGroup.end(), [](const Holder& aHolder) {
-      return aHolder.moving;
+    std::none_of(aGroup.begin(), aGroup.end(), [](const Member& aMember) {
+      return aMember.pending;
     });
-  if (calm) {
+  if (stable) {
     this->shrink(aProfile, aGroup, aBusy);
   }
 }
 
-/** When some layer is held nowhere, every request is refused: the largest copy
- * is cut anew, whatever has to move. */
+/** Partitions the group with the most memory again if some layer is held by no
+ * replica at all, however many layers have to move: until then every request is
+ * refused. */
 void
-LayerPlanner::rescue(const EngineProfile& aProfile, std::vector<Group>& aZones)
+LayerPlanner::restoreCoverage(const EngineProfile& aProfile,
+                              std::vector<Group>& aGroups)
 {
   Group all;
-  for (const Group& group : aZones) {
+  for (const Group& group : aGroups) {
     all.insert(all.end(), group.begin(), group.end());
   }
-  const bool moving =
-    std::any_of(all.begin(), all.end(), [](const Holder& aHolder) {
-      return aHolder.moving;
+  const bool anyPending =
+    std::any_of(all.begin(), all.end(), [](const Member& aMember) {
+      return aMember.pending;
     });
-  if (moving || gapsOf(all, aProfile.layers).empty()) {
-    this->nowhereSince.reset();
+  if (anyPending || gapsOf(all, aProfile.layers).empty()) {
+    this->uncoveredSince.reset();
     return;
   }
-  if (!this->nowhereSince) {
-    this->nowhereSince = this->now;
+  if (!this->uncoveredSince) {
+    this->uncoveredSince = this->now;
   }
-  if (this->now - *this->nowhereSince < this->patience) {
+  if (this->now - *this->uncoveredSince < this->repairDelay) {
     return;
   }
   const auto tokensOf = [&](Group& aGroup) {
-    return tokensOfCopy(
-      aProfile, kindsOf(aProfile, pointersTo(aGroup)), tokenGoal(aProfile));
+    return copyTokenCapacity(
+      aProfile, kindsOf(aProfile, pointersTo(aGroup)), tokenTarget(aProfile));
   };
   Group* largest = nullptr;
-  for (Group& group : aZones) {
+  for (Group& group : aGroups) {
     if (largest == nullptr || tokensOf(group) > tokensOf(*largest)) {
       largest = &group;
     }
   }
-  this->recut(aProfile,
-              largest != nullptr && tokensOf(*largest) > 0 ? *largest : all);
+  this->repartition(
+    aProfile, largest != nullptr && tokensOf(*largest) > 0 ? *largest : all);
 }
 
 } // namespace poplartrack
--- a/src/fleet/LayerSpeed.cpp
+++ b/src/fleet/LayerSpeed.cpp
@@ -1,5 +1,5 @@
-// How the planner keeps copies fast: newcomers take layers that only slower
-// replicas hold.
+// The part of LayerPlanner that keeps copies fast: a new replica takes layers
+// that only slower replicas hold.
 
 #include <algorithm>
 
@@ -15,67 +15,71 @@
 
 namespace {
 
-/** A layer that nobody holds counts as one of a replica this many times as slow
- * as the slowest. */
-constexpr double kNobody = 2;
+/** A layer that no replica holds counts as held by one whose steps take this
+ * many times as long as those of the slowest kind. */
+constexpr double kUnheldSlowdown = 2;
 
+/** Returns the step factor with which a layer that no replica holds counts. */
 double
-stepOfNobody(const EngineProfile& aProfile)
+unheldStepFactor(const EngineProfile& aProfile)
 {
   double slowest = 0;
   for (const auto& [name, kind] : aProfile.kinds) {
     slowest = std::max(slowest, kind.stepFactor);
   }
-  return kNobody * slowest;
+  return kUnheldSlowdown * slowest;
 }
 
-/** Tokens that the fastest copy of these replicas would be cut for. */
+/** Returns the tokens that the fastest copy of these replicas would keep memory
+ * for. */
 template<typename Group>
 double
-tokensOfFastest(const EngineProfile& aProfile, Group& aGroup)
+fastestCopyTokenCapacity(const EngineProfile& aProfile, Group& aGroup)
 {
   auto kinds = kindsOf(aProfile, pointersTo(aGroup));
   std::sort(
     kinds.begin(), kinds.end(), [](const auto* aLeft, const auto* aRight) {
       return aLeft->stepFactor < aRight->stepFactor;
     });
-  const double goal = tokenGoal(aProfile);
-  const auto copies = splitCopies(aProfile, kinds, goal);
+  const double target = tokenTarget(aProfile);
+  const auto copies = splitCopies(aProfile, kinds, target);
   std::vector<const AcceleratorKind*> first;
   for (const std::size_t place : copies.front()) {
     first.push_back(kinds[place]);
   }
-  return bestTokens(aProfile, first, goal);
+  return bestTokenCapacity(aProfile, first, target);
 }
 
 } // namespace
 
 /**
- * Gives a newcomer the layers that only slower replicas hold: as a rule those
- * of the one before it, for which the slow ones stand in. Put where memory was
- * least, the fastest accelerators came back beside their like, and the zone
- * went on over slow ones to the end of the day.
+ * Assigns layers that only slower replicas hold to an empty replica. As a rule
+ * they are those of its fast predecessor, which slow replicas have replaced.
+ * If memory alone decided, a returning fast accelerator would duplicate layers
+ * of other fast ones, and the zone would keep using slow ones. Returns false if
+ * no layer gets faster.
  */
 bool
-LayerPlanner::placeFaster(const EngineProfile& aProfile,
-                          Group& aGroup,
-                          Holder& aHolder)
+LayerPlanner::assignFasterRange(const EngineProfile& aProfile,
+                                Group& aGroup,
+                                Member& aEmpty)
 {
-  const AcceleratorKind& kind = *kindOf(aProfile, *aHolder.replica);
-  const auto fastest = fastestByLayer(aProfile, aGroup, stepOfNobody(aProfile));
-  // The cut of a large zone takes long: most newcomers have nothing to gain,
-  // and ask in each round.
+  const AcceleratorKind& kind = *kindOf(aProfile, *aEmpty.replica);
+  const auto fastest =
+    stepFactorByLayer(aProfile, aGroup, unheldStepFactor(aProfile));
+  // Splitting a large zone takes long. Most empty replicas cannot speed up any
+  // layer, and are checked in each plan, so that case is excluded first.
   if (!fasterRange(fastest, kind.stepFactor, 1)) {
     return false;
   }
   const auto range = fasterRange(
     fastest,
     kind.stepFactor,
-    layersBeside(aProfile, kind, tokensOfFastest(aProfile, aGroup)));
+    layerCapacity(aProfile, kind, fastestCopyTokenCapacity(aProfile, aGroup)));
   if (!range) {
     return false;
   }
-  this->order(aHolder, *range, "faster");
+  this->issueOrder(aEmpty, *range, "faster");
   return true;
 }
 
--- a/src/fleet/PartialCopies.cpp
+++ b/src/fleet/PartialCopies.cpp
@@ -13,109 +13,116 @@
 
 using Kinds = std::vector<const AcceleratorKind*>;
 
-/** Memory for requests that is tried, as parts of the goal. The least serves
- * fleets that just hold the model. */
-constexpr std::array<double, 5> kMemoryParts{ 0.03, 0.07, 0.15, 0.3, 0.6 };
+/** Token capacities that are tried, as fractions of the token target. The least
+ * is for fleets that just hold the model. */
+constexpr std::array<double, 5> kFractionsTried{ 0.03, 0.07, 0.15, 0.3, 0.6 };
 
-/** Places of a zone's layers that are tried, beside those around a stretch that
- * it leaves out in the middle. */
-constexpr std::uint32_t kPlaces = 8;
+/** Number of steps in which the first layer of a zone is moved through the
+ * possible positions, in addition to layouts that leave out a range in the
+ * middle. */
+constexpr std::uint32_t kOffsetsTried = 8;
 
-/** Times that each zone is placed anew beside the others. */
-constexpr int kRounds = 2;
+/** How often the layout of each zone is chosen, given those of the others. */
+constexpr int kPlacementRounds = 2;
 
-/** Zones that are placed beside each other. The work grows with the fourth
- * power of their number; more of them are dealt into sets, each with all
+/** Most zones whose layouts are chosen together. The work grows with the fourth
+ * power of their number, so more zones are divided into sets that each hold all
  * layers. */
-constexpr std::size_t kMostTogether = 6;
+constexpr std::size_t kMaxZonesPerSet = 6;
 
-/** One way to lay a zone's replicas over the layers. */
+/** The layer range of each replica of a zone. */
 using Layout = std::vector<LayerRange>;
 
-/** The layers of a zone for some memory, and the ways to lay them. */
-struct ZoneChoices
+/** The possible layouts of a zone for one token capacity. */
+struct ZoneOptions
 {
+  /** Requests per second that the zone serves in each of its layers. */
   double rate = 0;
   std::vector<Layout> layouts;
+  /** Index of the chosen layout. */
   std::size_t chosen = 0;
 };
 
-/** Requests in a second that a zone serves in each of its layers when its
- * memory is full of usual requests. */
+/** Returns the requests per second that a zone serves in each of its layers
+ * when its memory is full of mean requests. */
 double
-rateOf(const EngineProfile& aProfile,
-       const Kinds& aKinds,
-       const std::vector<std::uint32_t>& aCounts,
-       double aTokens)
+zoneRequestRate(const EngineProfile& aProfile,
+                const Kinds& aKinds,
+                const std::vector<std::uint32_t>& aCounts,
+                double aTokens)
 {
   const auto held = std::accumulate(aCounts.begin(), aCounts.end(), 0U);
-  // The rest of a request's layers is taken to be as slow as these.
-  const double part = static_cast<double>(aProfile.layers) / held;
-  return answersPerSecond(aProfile, aKinds, aCounts, aTokens) / part;
+  // The other layers of a request are taken to be as slow as these.
+  const double zonesPerRequest = static_cast<double>(aProfile.layers) / held;
+  return answersPerSecond(aProfile, aKinds, aCounts, aTokens) / zonesPerRequest;
 }
 
-/** Lays replicas one behind the other from a layer on; those from aSplit on end
- * at the last layer of the model instead. */
+/** Returns the layout with the replicas one after the other from layer aFrom
+ * on. Those from index aSplit on are moved to the end of the model, so that the
+ * layout leaves out a range in the middle; aCounts.size() moves none. */
 Layout
-layFrom(const EngineProfile& aProfile,
-        const std::vector<std::uint32_t>& aCounts,
-        std::uint32_t aFrom,
-        std::size_t aSplit)
+layOut(const EngineProfile& aProfile,
+       const std::vector<std::uint32_t>& aCounts,
+       std::uint32_t aFrom,
+       std::size_t aSplit)
 {
-  const auto behind = aCounts.begin() + static_cast<std::ptrdiff_t>(aSplit);
-  const auto tail = std::accumulate(behind, aCounts.end(), 0U);
+  const auto tail = aCounts.begin() + static_cast<std::ptrdiff_t>(aSplit);
+  const auto tailLayers = std::accumulate(tail, aCounts.end(), 0U);
   Layout layout;
-  std::uint32_t at = aFrom;
+  std::uint32_t next = aFrom;
   for (std::size_t i = 0; i < aCounts.size(); ++i) {
     if (i == aSplit) {
-      at = aProfile.layers - tail;
+      next = aProfile.layers - tailLayers;
     }
-    layout.push_back({ at, at + aCounts[i] });
-    at += aCounts[i];
+    layout.push_back({ next, next + aCounts[i] });
+    next += aCounts[i];
   }
   return layout;
 }
 
-/** The same with the replicas in reverse order, each under its own place. */
+/** Returns the layout from the first layer on with the replicas in reverse
+ * order. Ranges are returned in the original order of the replicas. */
 Layout
-layReversed(const EngineProfile& aProfile,
-            const std::vector<std::uint32_t>& aCounts,
-            std::size_t aSplit)
+layOutReversed(const EngineProfile& aProfile,
+               const std::vector<std::uint32_t>& aCounts,
+               std::size_t aSplit)
 {
   const std::vector<std::uint32_t> reversed{ aCounts.rbegin(), aCounts.rend() };
-  Layout layout = layFrom(aProfile, reversed, 0, aSplit);
+  Layout layout = layOut(aProfile, reversed, 0, aSplit);
   std::reverse(layout.begin(), layout.end());
   return layout;
 }
 
-ZoneChoices
-choicesOf(const EngineProfile& aProfile, const Kinds& aKinds, double aTokens)
+/** Returns the layouts that are tried for a zone at one token capacity. */
+ZoneOptions
+zoneOptions(const EngineProfile& aProfile, const Kinds& aKinds, double aTokens)
 {
-  ZoneChoices choices;
+  ZoneOptions options;
   std::uint32_t room = 0;
   for (const AcceleratorKind* kind : aKinds) {
-    room += layersBeside(aProfile, *kind, aTokens);
+    room += layerCapacity(aProfile, *kind, aTokens);
   }
   const std::uint32_t held = std::min(room, aProfile.layers);
-  const auto counts = cutLayers(aProfile, aKinds, aTokens, held);
+  const auto counts = partitionLayers(aProfile, aKinds, aTokens, held);
   if (held == 0) {
-    return choices;
+    return options;
   }
-  choices.rate = rateOf(aProfile, aKinds, counts, aTokens);
+  options.rate = zoneRequestRate(aProfile, aKinds, counts, aTokens);
   const std::uint32_t missing = aProfile.layers - held;
-  const std::uint32_t step = std::max(missing / kPlaces, 1U);
+  const std::uint32_t step = std::max(missing / kOffsetsTried, 1U);
   for (std::uint32_t from = 0; from <= missing; from += step) {
-    choices.layouts.push_back(layFrom(aProfile, counts, from, counts.size()));
+    options.layouts.push_back(layOut(aProfile, counts, from, counts.size()));
   }
   for (std::size_t split = 0; split < counts.size() && missing > 0; ++split) {
-    choices.layouts.push_back(layFrom(aProfile, counts, 0, split));
-    choices.layouts.push_back(layReversed(aProfile, counts, split));
+    options.layouts.push_back(layOut(aProfile, counts, 0, split));
+    options.layouts.push_back(layOutReversed(aProfile, counts, split));
   }
-  return choices;
+  return options;
 }
 
+/** Returns the layers of the chosen layout, with adjacent ranges merged. */
 ZoneHolding
-holdingOf(const ZoneChoices& aZone)
+holdingOf(const ZoneOptions& aZone)
 {
   ZoneHolding holding;
   holding.rate = aZone.rate;
@@ -137,27 +144,28 @@
   return holding;
 }
 
-/** Places the zones one by one, each where all carry most together. */
+/** Chooses the layout of one zone after the other, each time the one with which
+ * all zones carry the most requests together. Returns that rate. */
 double
-place(const EngineProfile& aProfile, std::vector<ZoneChoices>& aZones)
+chooseLayouts(const EngineProfile& aProfile, std::vector<ZoneOptions>& aZones)
 {
   std::vector<ZoneHolding> holdings;
   for (std::size_t i = 0; i < aZones.size(); ++i) {
-    // At first their stretches lie evenly apart.
+    // Start with the missing ranges spread evenly over the model.
     aZones[i].chosen = aZones[i].layouts.size() * i / aZones.size();
     holdings.push_back(holdingOf(aZones[i]));
   }
-  double most = carriedRate(aProfile, holdings);
-  for (int round = 0; round < kRounds; ++round) {
+  double bestRate = zoneThroughput(aProfile, holdings);
+  for (int round = 0; round < kPlacementRounds; ++round) {
     for (std::size_t i = 0; i < aZones.size(); ++i) {
-      ZoneChoices& zone = aZones[i];
+      ZoneOptions& zone = aZones[i];
       std::size_t best = zone.chosen;
       for (std::size_t j = 0; j < zone.layouts.size(); ++j) {
         zone.chosen = j;
         holdings[i] = holdingOf(zone);
-        const double rate = carriedRate(aProfile, holdings);
-        if (rate > most) {
-          most = rate;
+        const double rate = zoneThroughput(aProfile, holdings);
+        if (rate > bestRate) {
+          bestRate = rate;
           best = j;
         }
       }
@@ -165,54 +173,57 @@
       holdings[i] = holdingOf(zone);
     }
   }
-  return most;
+  return bestRate;
 }
 
-/** A whole copy in one zone, where that holds all layers and a request. */
-std::optional<ZoneChoices>
+/** Returns a whole copy in one zone, or nothing if the zone cannot hold all
+ * layers and one mean request. */
+std::optional<ZoneOptions>
 wholeCopy(const EngineProfile& aProfile, const Kinds& aKinds)
 {
-  const double goal = layer_copy::tokenGoal(aProfile);
-  const double most = tokensOfCopy(aProfile, aKinds, goal);
-  if (most < aProfile.meanPromptTokens + aProfile.meanAnswerTokens) {
+  const double target = layer_copy::tokenTarget(aProfile);
+  const double maxTokens = copyTokenCapacity(aProfile, aKinds, target);
+  if (maxTokens < aProfile.meanPromptTokens + aProfile.meanAnswerTokens) {
     return std::nullopt;
   }
-  const double tokens = bestTokens(aProfile, aKinds, goal);
-  const auto counts = cutLayers(aProfile, aKinds, tokens, aProfile.layers);
-  ZoneChoices whole;
-  whole.rate = rateOf(aProfile, aKinds, counts, tokens);
-  whole.layouts.push_back(layFrom(aProfile, counts, 0, counts.size()));
+  const double tokens = bestTokenCapacity(aProfile, aKinds, target);
+  const auto counts =
+    partitionLayers(aProfile, aKinds, tokens, aProfile.layers);
+  ZoneOptions whole;
+  whole.rate = zoneRequestRate(aProfile, aKinds, counts, tokens);
+  whole.layouts.push_back(layOut(aProfile, counts, 0, counts.size()));
   return whole;
 }
 
-/** What a request that crosses is worth beside one that does not: while its
- * prompt takes the pipe, the tokens of all streams that cross there wait. */
+/** Returns the weight of a request that crosses zones, relative to one that
+ * does not: while its prompt takes up the link, the tokens of all streams that
+ * cross the link wait. */
 double
-worthOfCrossing(const EngineProfile& aProfile)
+crossingWeight(const EngineProfile& aProfile)
 {
-  return std::min(1.0, crossingRate(aProfile) / kSteadyCrossings);
+  return std::min(1.0, linkRequestRate(aProfile) / kFastLinkRequestRate);
 }
 
-/** The best way to lay the zones, with those that can do so keeping whole
- * copies of their own or without. */
-StaggeredCopies
-stagger(const EngineProfile& aProfile,
-        const std::vector<Kinds>& aZones,
-        const std::vector<std::optional<ZoneChoices>>& aWhole)
+/** Returns the best layouts of the zones. A zone with an entry in aWholeCopies
+ * keeps that copy; the others share the layers. */
+PartialCopies
+planZones(const EngineProfile& aProfile,
+          const std::vector<Kinds>& aZones,
+          const std::vector<std::optional<ZoneOptions>>& aWholeCopies)
 {
-  StaggeredCopies best;
-  for (const double part : kMemoryParts) {
-    const double tokens = part * layer_copy::tokenGoal(aProfile);
+  PartialCopies best;
+  for (const double fraction : kFractionsTried) {
+    const double tokens = fraction * layer_copy::tokenTarget(aProfile);
     double rate = 0;
-    std::vector<ZoneChoices> shared;
+    std::vector<ZoneOptions> shared;
     for (std::size_t i = 0; i < aZones.size(); ++i) {
-      if (aWhole[i]) {
-        rate += aWhole[i]->rate;
+      if (aWholeCopies[i]) {
+        rate += aWholeCopies[i]->rate;
       } else {
-        shared.push_back(choicesOf(aProfile, aZones[i], tokens));
+        shared.push_back(zoneOptions(aProfile, aZones[i], tokens));
       }
     }
-    rate += worthOfCrossing(aProfile) * place(aProfile, shared);
+    rate += crossingWeight(aProfile) * chooseLayouts(aProfile, shared);
     if (rate <= best.rate) {
       continue;
     }
@@ -220,7 +231,7 @@
     best.layers.clear();
     auto next = shared.begin();
     for (std::size_t i = 0; i < aZones.size(); ++i) {
-      const ZoneChoices& zone = aWhole[i] ? *aWhole[i] : *next++;
+      const ZoneOptions& zone = aWholeCopies[i] ? *aWholeCopies[i] : *next++;
       best.layers.push_back(zone.layouts.empty() ? Layout(aZones[i].size())
                                                  : zone.layouts[zone.chosen]);
     }
@@ -228,12 +239,13 @@
   return best;
 }
 
-/** Zones that are few enough to be placed beside each other. */
-StaggeredCopies
-staggerTogether(const EngineProfile& aProfile, const std::vector<Kinds>& aZones)
+/** Plans zones that are few enough to be planned together, with and without
+ * whole copies in those that can hold one, and returns the better plan. */
+PartialCopies
+planZoneSet(const EngineProfile& aProfile, const std::vector<Kinds>& aZones)
 {
-  std::vector<std::optional<ZoneChoices>> whole(aZones.size());
-  StaggeredCopies best = stagger(aProfile, aZones, whole);
+  std::vector<std::optional<ZoneOptions>> whole(aZones.size());
+  PartialCopies best = planZones(aProfile, aZones, whole);
   bool anyWhole = false;
   for (std::size_t i = 0; i < aZones.size(); ++i) {
     whole[i] = wholeCopy(aProfile, aZones[i]);
@@ -242,33 +254,35 @@
   if (!anyWhole) {
     return best;
   }
-  StaggeredCopies own = stagger(aProfile, aZones, whole);
-  return own.rate > best.rate ? own : best;
+  PartialCopies withWholeCopies = planZones(aProfile, aZones, whole);
+  return withWholeCopies.rate > best.rate ? withWholeCopies : best;
 }
 
 } // namespace
 
-StaggeredCopies
-staggerCopies(const EngineProfile& aProfile, const std::vector<Kinds>& aZones)
+PartialCopies
+planPartialCopies(const EngineProfile& aProfile,
+                  const std::vector<Kinds>& aZones)
 {
-  const std::size_t sets = (aZones.size() + kMostTogether - 1) / kMostTogether;
+  const std::size_t sets =
+    (aZones.size() + kMaxZonesPerSet - 1) / kMaxZonesPerSet;
   if (sets <= 1) {
-    return staggerTogether(aProfile, aZones);
+    return planZoneSet(aProfile, aZones);
   }
-  StaggeredCopies all;
+  PartialCopies all;
   all.layers.resize(aZones.size());
   for (std::size_t set = 0; set < sets; ++set) {
     std::vector<Kinds> zones;
     for (std::size_t i = set; i < aZones.size(); i += sets) {
       zones.push_back(aZones[i]);
     }
-    const StaggeredCopies some = staggerTogether(aProfile, zones);
-    if (some.rate <= 0) {
+    const PartialCopies ofSet = planZoneSet(aProfile, zones);
+    if (ofSet.rate <= 0) {
       return {};
     }
-    all.rate += some.rate;
+    all.rate += ofSet.rate;
     for (std::size_t i = 0; i < zones.size(); ++i) {
-      all.layers[set + i * sets] = some.layers[i];
+      all.layers[set + i * sets] = ofSet.layers[i];
     }
   }
   return all;
--- a/src/fleet/PartialCopies.h
+++ b/src/fleet/PartialCopies.h
@@ -8,32 +8,37 @@
 
 namespace poplartrack {
 
-/** How the replicas of zones that hold no whole copy share the layers. */
-struct StaggeredCopies
+/** How the replicas of zones that are too small for whole copies share the
+ * layers. */
+struct PartialCopies
 {
-  /** Requests in a second that the zones carry together; 0 where they cannot
-   * hold all layers. */
+  /** Requests per second that the zones carry together; 0 if they cannot hold
+   * all layers. */
   double rate = 0;
-  /** By zone and replica, in the order in which they were given; empty for a
+  /** Layers by zone and replica, in the given order; an empty range for a
    * replica that gets none. */
   std::vector<std::vector<LayerRange>> layers;
 };
 
 /**
- * Deals the layers to zones too small for a whole copy each.
+ * Distributes the layers over zones that are each too small for a whole copy.
  *
- * One copy dealt over all zones crosses zones at nearly every part, and a
- * prompt's activations fill a slow pipe at each crossing. Here each zone holds
- * all that it can but for one stretch, and the stretches lie apart: where a
- * zone lacks layers another one goes on, so a request crosses once, and each
- * two zones have a pipe between them that can be the one. How much memory is
- * left for requests, and where the stretches lie, is decided by what the zones
- * then carry together.
+ * If one copy were spread over all zones, paths would cross zones at nearly
+ * every replica, and the activations of a prompt would fill a slow link at each
+ * crossing. Instead, each zone holds as many layers as it can and leaves out
+ * one range, a different one in each zone. Where a zone lacks layers, another
+ * one continues, so that a request crosses once, and the requests can spread
+ * over the links between all pairs of zones. The memory kept for requests and
+ * the positions of the missing ranges are those with which the zones carry the
+ * most requests together.
+ *
+ * A zone that just holds a whole copy keeps it where that carries more.
  *
  * @param aZones the accelerators of each zone, fast ones first
  */
-StaggeredCopies
-staggerCopies(const EngineProfile& aProfile,
-              const std::vector<std::vector<const AcceleratorKind*>>& aZones);
+PartialCopies
+planPartialCopies(
+  const EngineProfile& aProfile,
+  const std::vector<std::vector<const AcceleratorKind*>>& aZones);
 
 } // namespace poplartrack
--- a/src/fleet/ZoneThroughput.cpp
+++ b/src/fleet/ZoneThroughput.cpp
@@ -6,104 +6,120 @@
 namespace poplartrack {
 namespace {
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
-/** Equal steps in which the load is dealt. A number that two, three, four or
- * six like resources share without a rest: one step more on one of them would
- * count as the bound of all. */
-constexpr int kSteps = 24;
+/** Equal steps in which the load is added. Two, three, four or six equal
+ * resources share this number without a remainder. A remainder would put one
+ * step more on one of them, which would then bound the result. */
+constexpr int kLoadSteps = 24;
 
-/** Keeps paths from crossing for nothing where pipes are not bounded. */
+/** Keeps paths from crossing zones needlessly when links are unbounded. */
 constexpr double kCrossingCost = 1e-9;
 
-/** One resource: a pipe, or a stretch of layers in a zone. */
+/** A zone link, or the replicas of a zone that serve one segment. */
 struct Resource
 {
+  /** Load steps assigned so far. */
   double load = 0;
-  double rate = kNever;
+  /** Requests per second that it can carry. */
+  double rate = kInfinity;
 
-  [[nodiscard]] double use() const { return this->load / this->rate; }
-  /** What one more step costs: the slope of the sixth power of the use, so that
-   * the fullest resource decides. An empty one costs a little, so that short
-   * paths go first. */
+  [[nodiscard]] double utilization() const { return this->load / this->rate; }
+  /** Returns the cost of one more load step: the slope of the sixth power of
+   * the utilization, so that the fullest resource dominates the cost of a path.
+   * An unused one costs a little, so that short paths are preferred. */
   [[nodiscard]] double cost() const
   {
-    const double use = (this->load + 1.0) / this->rate;
-    const double square = use * use;
-    return square * square * use / this->rate;
+    const double utilization = (this->load + 1.0) / this->rate;
+    const double square = utilization * utilization;
+    return square * square * utilization / this->rate;
   }
 };
 
-class Flow
+/** Assigns load to paths step by step. A segment is a layer range in which no
+ * zone begins or ends holding layers. */
+class LoadAssignment
 {
 public:
-  Flow(const EngineProfile& aProfile, const std::vector<ZoneHolding>& aZones);
+  LoadAssignment(const EngineProfile& aProfile,
+                 const std::vector<ZoneHolding>& aZones);
 
-  double carried();
+  /** Assigns all load steps; returns the request rate at which the fullest
+   * resource is fully used, or 0 if no path holds all layers. */
+  double throughput();
 
 private:
-  [[nodiscard]] std::size_t at(std::size_t aStretch, std::size_t aZone) const
+  /** Returns the index of a segment in a zone. */
+  [[nodiscard]] std::size_t indexOf(std::size_t aSegment,
+                                    std::size_t aZone) const
   {
-    return aStretch * this->zones + aZone;
+    return aSegment * this->zones + aZone;
   }
+  /** Returns the link between two zones, in either direction. */
   Resource& link(std::size_t aFrom, std::size_t aTo)
   {
     return this
       ->links[std::min(aFrom, aTo) * this->zones + std::max(aFrom, aTo)];
   }
-  void price();
-  bool dealStep();
+  void updateCosts();
+  bool routeLoadStep();
 
   std::size_t zones;
-  std::size_t stretches = 0;
-  /** By stretch and zone; a rate of 0 where the zone does not hold it. */
+  std::size_t segments = 0;
+  /** By segment and zone; the rate is 0 if the zone does not hold the segment.
+   */
   std::vector<Resource> layers;
+  /** By pair of zones, the smaller index first. */
   std::vector<Resource> links;
   std::vector<double> layerCosts;
   std::vector<double> linkCosts;
-  std::vector<double> best;
-  std::vector<std::size_t> before;
+  /** Cost of the cheapest path up to and including a segment in a zone. */
+  std::vector<double> cheapestCosts;
+  /** Zone of the segment before on that path. */
+  std::vector<std::size_t> previousZone;
 };
 
-Flow::Flow(const EngineProfile& aProfile,
-           const std::vector<ZoneHolding>& aZones)
+LoadAssignment::LoadAssignment(const EngineProfile& aProfile,
+                               const std::vector<ZoneHolding>& aZones)
   : zones(aZones.size())
 {
-  std::vector<std::uint32_t> points{ 0, aProfile.layers };
+  std::vector<std::uint32_t> boundaries{ 0, aProfile.layers };
   for (const ZoneHolding& zone : aZones) {
     for (const LayerRange& range : zone.ranges) {
-      points.push_back(range.from);
-      points.push_back(range.to);
+      boundaries.push_back(range.from);
+      boundaries.push_back(range.to);
     }
   }
-  std::sort(points.begin(), points.end());
-  points.erase(std::unique(points.begin(), points.end()), points.end());
-  this->stretches = points.size() - 1;
-  this->layers.assign(this->stretches * this->zones, Resource{ 0, 0 });
-  for (std::size_t i = 0; i < this->stretches; ++i) {
-    const LayerRange stretch{ points[i], points[i + 1] };
+  std::sort(boundaries.begin(), boundaries.end());
+  boundaries.erase(std::unique(boundaries.begin(), boundaries.end()),
+                   boundaries.end());
+  this->segments = boundaries.size() - 1;
+  this->layers.assign(this->segments * this->zones, Resource{ 0, 0 });
+  for (std::size_t i = 0; i < this->segments; ++i) {
+    const LayerRange segment{ boundaries[i], boundaries[i + 1] };
     for (std::size_t zone = 0; zone < this->zones; ++zone) {
       for (const LayerRange& range : aZones[zone].ranges) {
-        if (range.contains(stretch)) {
-          this->layers[this->at(i, zone)].rate = aZones[zone].rate;
+        if (range.contains(segment)) {
+          this->layers[this->indexOf(i, zone)].rate = aZones[zone].rate;
         }
       }
     }
   }
   this->links.assign(this->zones * this->zones,
-                     Resource{ 0, crossingRate(aProfile) });
+                     Resource{ 0, linkRequestRate(aProfile) });
   this->layerCosts.resize(this->layers.size());
   this->linkCosts.resize(this->links.size());
-  this->best.resize(this->layers.size());
-  this->before.resize(this->layers.size());
+  this->cheapestCosts.resize(this->layers.size());
+  this->previousZone.resize(this->layers.size());
 }
 
+/** Computes the cost of one more load step for each segment and link. */
 void
-Flow::price()
+LoadAssignment::updateCosts()
 {
   for (std::size_t i = 0; i < this->layers.size(); ++i) {
     const Resource& resource = this->layers[i];
-    this->layerCosts[i] = resource.rate > 0 ? resource.cost() : kNever;
+    this->layerCosts[i] = resource.rate > 0 ? resource.cost() : kInfinity;
   }
   for (std::size_t from = 0; from < this->zones; ++from) {
     for (std::size_t to = 0; to < this->zones; ++to) {
@@ -114,40 +130,41 @@
   }
 }
 
-/** Deals one step of the load to the cheapest path; false when there is none.
+/** Adds one load step to the cheapest path; false if no path holds all layers.
  */
 bool
-Flow::dealStep()
+LoadAssignment::routeLoadStep()
 {
-  this->price();
-  for (std::size_t i = 0; i < this->stretches; ++i) {
+  this->updateCosts();
+  for (std::size_t i = 0; i < this->segments; ++i) {
     for (std::size_t zone = 0; zone < this->zones; ++zone) {
-      double cheapest = i == 0 ? 0 : kNever;
+      double cheapest = i == 0 ? 0 : kInfinity;
       std::size_t from = zone;
       for (std::size_t other = 0; i > 0 && other < this->zones; ++other) {
-        const double cost = this->best[this->at(i - 1, other)] +
+        const double cost = this->cheapestCosts[this->indexOf(i - 1, other)] +
                             this->linkCosts[other * this->zones + zone];
         if (cost < cheapest) {
           cheapest = cost;
           from = other;
         }
       }
-      const std::size_t here = this->at(i, zone);
-      this->best[here] = cheapest + this->layerCosts[here];
-      this->before[here] = from;
+      const std::size_t current = this->indexOf(i, zone);
+      this->cheapestCosts[current] = cheapest + this->layerCosts[current];
+      this->previousZone[current] = from;
     }
   }
-  const std::size_t last = this->at(this->stretches - 1, 0);
-  const auto ends = this->best.begin() + static_cast<std::ptrdiff_t>(last);
-  const auto end = std::min_element(ends, this->best.end());
-  if (*end == kNever) {
+  const std::size_t last = this->indexOf(this->segments - 1, 0);
+  const auto ends =
+    this->cheapestCosts.begin() + static_cast<std::ptrdiff_t>(last);
+  const auto end = std::min_element(ends, this->cheapestCosts.end());
+  if (*end == kInfinity) {
     return false;
   }
   auto zone = static_cast<std::size_t>(end - ends);
-  for (std::size_t i = this->stretches; i > 0; --i) {
-    const std::size_t here = this->at(i - 1, zone);
-    this->layers[here].load += 1;
-    const std::size_t from = this->before[here];
+  for (std::size_t i = this->segments; i > 0; --i) {
+    const std::size_t current = this->indexOf(i - 1, zone);
+    this->layers[current].load += 1;
+    const std::size_t from = this->previousZone[current];
     if (i > 1 && from != zone) {
       this->link(from, zone).load += 1;
     }
@@ -157,41 +174,43 @@
 }
 
 double
-Flow::carried()
+LoadAssignment::throughput()
 {
-  for (int i = 0; i < kSteps; ++i) {
-    if (!this->dealStep()) {
+  for (int i = 0; i < kLoadSteps; ++i) {
+    if (!this->routeLoadStep()) {
       return 0;
     }
   }
-  double fullest = 0;
+  double highestUtilization = 0;
   for (const Resource& resource : this->layers) {
-    fullest = resource.rate > 0 ? std::max(fullest, resource.use()) : fullest;
+    highestUtilization =
+      resource.rate > 0 ? std::max(highestUtilization, resource.utilization())
+                        : highestUtilization;
   }
   for (const Resource& resource : this->links) {
-    fullest = std::max(fullest, resource.use());
+    highestUtilization = std::max(highestUtilization, resource.utilization());
   }
-  return fullest > 0 ? kSteps / fullest : kNever;
+  return highestUtilization > 0 ? kLoadSteps / highestUtilization : kInfinity;
 }
 
 } // namespace
 
 double
-crossingRate(const EngineProfile& aProfile)
+linkRequestRate(const EngineProfile& aProfile)
 {
   constexpr double kBytesPerMegabit = 1e6 / 8;
   const double bytes = (aProfile.meanPromptTokens + aProfile.meanAnswerTokens) *
                        aProfile.activationBytes;
   return aProfile.linkMbps > 0 && bytes > 0
            ? aProfile.linkMbps * kBytesPerMegabit / bytes
-           : kNever;
+           : kInfinity;
 }
 
 double
-carriedRate(const EngineProfile& aProfile,
-            const std::vector<ZoneHolding>& aZones)
+zoneThroughput(const EngineProfile& aProfile,
+               const std::vector<ZoneHolding>& aZones)
 {
-  return aZones.empty() ? 0 : Flow{ aProfile, aZones }.carried();
+  return aZones.empty() ? 0 : LoadAssignment{ aProfile, aZones }.throughput();
 }
 
 } // namespace poplartrack
--- a/src/fleet/ZoneThroughput.h
+++ b/src/fleet/ZoneThroughput.h
@@ -8,25 +8,26 @@
 
 namespace poplartrack {
 
-/** What the replicas of one availability zone hold of a model together. */
+/** The layers that the replicas of one availability zone hold together. */
 struct ZoneHolding
 {
   /** Disjoint and in ascending order. */
   std::vector<LayerRange> ranges;
-  /** Requests in a second that each of these layers can serve there. */
+  /** Requests per second that the zone can serve in each of these layers. */
   double rate = 0;
 };
 
 /**
- * Requests in a second that the zones carry together, with each request on one
- * path of zones that hold its layers in order. Bounded by the zones' rates and
- * by the pipe that each two zones share. 0 when some layer is held nowhere.
+ * Returns an estimate of the requests per second that the zones carry together.
+ * Each request takes one path through zones that hold its layers in order. The
+ * rates of the zones and the link between each two zones bound the result. 0 if
+ * no zone holds some layer.
  *
- * An estimate from below: the load is dealt in equal steps, each to the path on
- * which the fullest resources suffer least.
+ * The estimate is a lower bound: a greedy assignment adds the load in equal
+ * steps, each on the path that loads the fullest resources the least.
  */
 double
-carriedRate(const EngineProfile& aProfile,
-            const std::vector<ZoneHolding>& aZones);
+zoneThroughput(const EngineProfile& aProfile,
+               const std::vector<ZoneHolding>& aZones);
 
 } // namespace poplartrack
--- a/tests/unit/fleet/CopySplitTest.cpp
+++ b/tests/unit/fleet/CopySplitTest.cpp
@@ -15,9 +15,10 @@
 
 using namespace fleettest;
 
-/** Tokens for the usual requests of all slots. */
-constexpr double kGoal = 8'000;
+/** Tokens of mean requests in all slots. */
+constexpr double kTokenTarget = 8'000;
 
+/** Returns fast accelerators followed by slow ones. */
 std::vector<const AcceleratorKind*>
 fastFirst(const EngineProfile& aProfile, std::size_t aFast, std::size_t aSlow)
 {
@@ -26,19 +27,20 @@
   return kinds;
 }
 
+/** Returns the accelerators of a copy. */
 std::vector<const AcceleratorKind*>
 membersOf(const std::vector<const AcceleratorKind*>& aReplicas,
           const CopyMembers& aCopy)
 {
   std::vector<const AcceleratorKind*> members;
-  for (const std::size_t place : aCopy) {
-    members.push_back(aReplicas[place]);
+  for (const std::size_t index : aCopy) {
+    members.push_back(aReplicas[index]);
   }
   return members;
 }
 
-/** Time of one token over all layers, in steps of the reference, when the
- * copies are not busy and it takes the fastest. */
+/** Returns the time of one token through the fastest copy under no load, in
+ * decode steps of the reference accelerator. */
 double
 quickestToken(const EngineProfile& aProfile,
               const std::vector<const AcceleratorKind*>& aReplicas,
@@ -47,8 +49,11 @@
   double quickest = 1e9;
   for (const CopyMembers& copy : aCopies) {
     const auto members = membersOf(aReplicas, copy);
-    const auto counts = cutLayers(
-      aProfile, members, bestTokens(aProfile, members, kGoal), aProfile.layers);
+    const auto counts =
+      partitionLayers(aProfile,
+                      members,
+                      bestTokenCapacity(aProfile, members, kTokenTarget),
+                      aProfile.layers);
     double steps = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
       steps += members[i]->stepFactor * counts[i] / aProfile.layers;
@@ -58,13 +63,13 @@
   return quickest;
 }
 
-// Guards against copies that each wait for slow accelerators while fast ones
-// that hold the model together stand among them.
+// Guards against fast accelerators that could hold the model together but are
+// spread over several copies, each of which then waits for slow ones.
 TEST(CopySplit, FastAcceleratorsThatHoldTheModelShareACopy)
 {
   const EngineProfile profile = smallProfile();
   const auto replicas = fastFirst(profile, 2, 8);
-  const auto copies = splitCopies(profile, replicas, kGoal);
+  const auto copies = splitCopies(profile, replicas, kTokenTarget);
   ASSERT_GE(copies.size(), 2U);
   const double fast = profile.kinds.at("fast").stepFactor;
   EXPECT_DOUBLE_EQ(quickestToken(profile, replicas, copies), fast);
@@ -73,7 +78,8 @@
 TEST(CopySplit, ReplicasOfOneKindMakeCopiesThatAreAlike)
 {
   const EngineProfile profile = smallProfile();
-  const auto copies = splitCopies(profile, fastFirst(profile, 0, 10), kGoal);
+  const auto copies =
+    splitCopies(profile, fastFirst(profile, 0, 10), kTokenTarget);
   ASSERT_GE(copies.size(), 2U);
   for (const CopyMembers& copy : copies) {
     EXPECT_LE(copy.size(), copies.front().size());
@@ -84,7 +90,8 @@
 TEST(CopySplit, ReplicasForOneCopyAllBelongToIt)
 {
   const EngineProfile profile = smallProfile();
-  const auto copies = splitCopies(profile, fastFirst(profile, 1, 4), kGoal);
+  const auto copies =
+    splitCopies(profile, fastFirst(profile, 1, 4), kTokenTarget);
   ASSERT_EQ(copies.size(), 1U);
   EXPECT_EQ(copies[0].size(), 5U);
 }
@@ -95,16 +102,16 @@
 {
   const EngineProfile profile = smallProfile();
   const auto replicas = fastFirst(profile, aFast % 8, 1 + aSlow % 24);
-  const auto copies = splitCopies(profile, replicas, kGoal);
+  const auto copies = splitCopies(profile, replicas, kTokenTarget);
   std::set<std::size_t> named;
   for (const CopyMembers& copy : copies) {
-    for (const std::size_t place : copy) {
-      RC_ASSERT(place < replicas.size());
-      RC_ASSERT(named.insert(place).second);
+    for (const std::size_t index : copy) {
+      RC_ASSERT(index < replicas.size());
+      RC_ASSERT(named.insert(index).second);
     }
     const double tokens =
-      tokensOfCopy(profile, membersOf(replicas, copy), kGoal);
-    RC_ASSERT(copies.size() == 1 || tokens >= kGoal / 2);
+      copyTokenCapacity(profile, membersOf(replicas, copy), kTokenTarget);
+    RC_ASSERT(copies.size() == 1 || tokens >= kTokenTarget / 2);
   }
 }
 
--- a/tests/unit/fleet/FasterRangeTest.cpp
+++ b/tests/unit/fleet/FasterRangeTest.cpp
@@ -9,49 +9,53 @@
 namespace poplartrack {
 namespace {
 
-/** Step factors of 20 layers: slow ones from aFrom to aTo, fast ones else. */
+/** Returns the step factors of 20 layers: slow in [aFrom, aTo), fast elsewhere.
+ */
 std::vector<double>
 slowBetween(std::uint32_t aFrom, std::uint32_t aTo)
 {
-  std::vector<double> best(20, 2);
-  std::fill(best.begin() + aFrom, best.begin() + aTo, 16);
-  return best;
+  std::vector<double> stepFactors(20, 2);
+  std::fill(stepFactors.begin() + aFrom, stepFactors.begin() + aTo, 16);
+  return stepFactors;
 }
 
-TEST(FasterRange, TakesExactlyWhatOnlySlowerOnesHold)
+TEST(FasterRange, TakesExactlyTheLayersThatOnlySlowerReplicasHold)
 {
   const auto range = fasterRange(slowBetween(7, 13), 2, 10);
   EXPECT_EQ(range, (LayerRange{ 7, 13 }));
 }
 
-TEST(FasterRange, TakesAsManyAsItMayHold)
+TEST(FasterRange, TakesAsManyLayersAsItMayHold)
 {
   const auto range = fasterRange(slowBetween(7, 20), 2, 10);
   ASSERT_TRUE(range);
   EXPECT_EQ(range->size(), 10U);
 }
 
-// Guards against loads of weights that make nothing faster.
-TEST(FasterRange, NothingBesideReplicasOfItsOwnPace)
+// Guards against loading weights that make no layer faster.
+TEST(FasterRange, NothingWhereNoReplicaIsSlower)
 {
   EXPECT_FALSE(fasterRange(slowBetween(7, 13), 16, 10));
   EXPECT_FALSE(fasterRange(slowBetween(0, 0), 2, 10));
 }
 
-RC_GTEST_PROP(FasterRange, FitsAndEndsWhereItIsFaster, (std::uint8_t aMost))
+RC_GTEST_PROP(FasterRange,
+              FitsAndBeginsAndEndsOnFasterLayers,
+              (std::uint8_t aCode))
 {
-  const auto best = *rc::gen::container<std::vector<double>>(
+  const auto stepFactors = *rc::gen::container<std::vector<double>>(
     20, rc::gen::element(2.0, 5.0, 16.0));
-  const std::uint32_t most = aMost % 24U;
-  const auto range = fasterRange(best, 5, most);
+  const std::uint32_t maxLayers = aCode % 24U;
+  const auto range = fasterRange(stepFactors, 5, maxLayers);
   if (!range) {
-    RC_ASSERT(most == 0U || *std::max_element(best.begin(), best.end()) <= 5);
+    RC_ASSERT(maxLayers == 0U ||
+              *std::max_element(stepFactors.begin(), stepFactors.end()) <= 5);
     return;
   }
   RC_ASSERT(range->to <= 20U);
-  RC_ASSERT(range->size() <= most);
-  RC_ASSERT(best[range->from] > 5);
-  RC_ASSERT(best[range->to - 1] > 5);
+  RC_ASSERT(range->size() <= maxLayers);
+  RC_ASSERT(stepFactors[range->from] > 5);
+  RC_ASSERT(stepFactors[range->to - 1] > 5);
 }
 
 } // namespace
--- a/tests/unit/fleet/FleetSamples.h
+++ b/tests/unit/fleet/FleetSamples.h
@@ -9,8 +9,8 @@
 
 namespace poplartrack::fleettest {
 
-/** A model of 20 layers on two kinds of accelerators; a token takes 0.01 MB a
- * layer. */
+/** Returns a model of 20 layers on two kinds of accelerators; a token takes
+ * 0.01 MB per layer. */
 inline EngineProfile
 smallProfile()
 {
@@ -33,6 +33,7 @@
   return profile;
 }
 
+/** Returns a replica without layers. */
 inline Replica
 replicaOf(const std::string& aId,
           const std::string& aZone,
@@ -49,6 +50,7 @@
   return replica;
 }
 
+/** Returns a slow replica that holds some layers. */
 inline Replica
 holding(const std::string& aId, const std::string& aZone, LayerRange aLayers)
 {
@@ -57,8 +59,8 @@
   return replica;
 }
 
-/** Whether the path runs each layer once and in order, names no replica twice,
- * and each part is held. */
+/** Returns whether the path runs each layer once and in order, names no replica
+ * twice, and names only replicas that hold their parts. */
 inline bool
 isValidPath(const LayerPath& aPath,
             const std::vector<Replica>& aReplicas,
--- a/tests/unit/fleet/LayerPlannerTest.cpp
+++ b/tests/unit/fleet/LayerPlannerTest.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Replicas that carry out orders when the test says so. */
+/** A planner and its replicas, which carry out orders when the test says so. */
 class Fleet
 {
 public:
@@ -27,7 +27,7 @@
     return this->planner.plan(
       this->profile, this->replicas, aUncertain, this->busy, this->clock.now());
   }
-  /** Plans after a pause. */
+  /** Advances the clock, then plans. */
   std::vector<LayerOrder> planAfter(Duration aPause)
   {
     this->clock.advance(aPause);
@@ -49,13 +49,13 @@
     ADD_FAILURE() << "no replica " << aId;
     return this->replicas.front();
   }
-  /** A replica joins that only doubles others, and has waited for a part that
-   * comes free. */
+  /** Adds a replica for which there is no gap and advances the clock until it
+   * may duplicate layers of others. */
   void joinForLong(Replica aReplica)
   {
     this->replicas.push_back(std::move(aReplica));
     EXPECT_TRUE(this->plan().empty());
-    this->clock.advance(LayerPlannerPolicy{}.doublePatience);
+    this->clock.advance(LayerPlannerPolicy{}.duplicateDelay);
   }
   void lose(const std::string& aId)
   {
@@ -86,7 +86,7 @@
     }
     return true;
   }
-  /** Waits for the first plan and carries it out. */
+  /** Waits for the first plan and carries it out. Expects no order after it. */
   void start()
   {
     this->plan();
@@ -101,6 +101,7 @@
   std::set<std::string> busy;
 };
 
+/** Returns two zones of one fast and four slow replicas each. */
 std::vector<Replica>
 fourInEachOfTwoZones()
 {
@@ -133,15 +134,16 @@
   EXPECT_GT(fleet.at("a0").layers->size(), fleet.at("a1").layers->size());
 }
 
-/** Answers that the copy of a zone gives in a second while its memory is full
- * of usual requests, worked out from what each replica holds. */
+/** Returns the answers per second of a zone's copy while its memory is full of
+ * mean requests, computed from the layers of each replica. */
 double
-answersOf(const Fleet& aFleet, const std::string& aZone)
+answersPerSecondOf(const Fleet& aFleet, const std::string& aZone)
 {
   const EngineProfile& profile = aFleet.profile;
-  const double usual = profile.meanPromptTokens + profile.meanAnswerTokens;
+  const double meanRequestTokens =
+    profile.meanPromptTokens + profile.meanAnswerTokens;
   double requests = profile.slots;
-  double slowness = 0;
+  double weightedStepFactor = 0;
   for (const Replica& replica : aFleet.replicas) {
     if (replica.zone != aZone) {
       continue;
@@ -149,42 +151,43 @@
     const AcceleratorKind& kind = profile.kinds.at(replica.kind);
     const double layers = replica.layers->size();
     const double free = kind.memoryMb - profile.layerMb * layers;
-    requests =
-      std::min(requests, free / (profile.tokenLayerMb() * layers) / usual);
-    slowness += kind.stepFactor * layers / profile.layers;
+    requests = std::min(
+      requests, free / (profile.tokenLayerMb() * layers) / meanRequestTokens);
+    weightedStepFactor += kind.stepFactor * layers / profile.layers;
   }
   const double tokenMs =
-    slowness * (profile.stepMs + requests * profile.perRequestMs);
+    weightedStepFactor * (profile.stepMs + requests * profile.perRequestMs);
   return 1'000 * requests / (tokenMs * profile.meanAnswerTokens);
 }
 
-TEST(LayerPlanner, ACopyIsCutForTheMostAnswersAndTheMostRequestsOfAllSlots)
+TEST(LayerPlanner, ACopyIsLaidOutForAnswersPerSecondWithMemoryForHalfTheSlots)
 {
-  // A zone loses its copy, and the other has all callers: how many answers that
-  // gives in a second, with what it keeps beside its layers, decides how many
-  // of them are refused. Cut for the most memory, 8 slots of each replica, it
-  // gives 5.447 with 8 layers on the fast one; it may not give less, nor keep
-  // less than half of that memory.
+  // When a zone loses its copy, the other zone serves all callers. Its answers
+  // per second and its memory for requests decide how many of them it refuses.
+  // A layout for the most memory, all 8 slots of each replica, puts 8 layers on
+  // the fast replica and gives 5.447 answers per second. The chosen layout must
+  // not give fewer, and must keep at least half of that memory.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   const EngineProfile& profile = fleet.profile;
-  const double usual = profile.meanPromptTokens + profile.meanAnswerTokens;
+  const double meanRequestTokens =
+    profile.meanPromptTokens + profile.meanAnswerTokens;
   for (const Replica& replica : fleet.replicas) {
     const double free = profile.kinds.at(replica.kind).memoryMb -
                         profile.layerMb * replica.layers->size();
     const double tokens =
       free / (profile.tokenLayerMb() * replica.layers->size());
-    EXPECT_GE(tokens, profile.slots * usual / 2) << replica.id;
+    EXPECT_GE(tokens, profile.slots * meanRequestTokens / 2) << replica.id;
   }
-  constexpr double kByMemory = 5.45;
-  EXPECT_GE(answersOf(fleet, "a"), kByMemory);
-  EXPECT_GE(answersOf(fleet, "b"), kByMemory);
+  constexpr double kMinAnswersPerSecond = 5.45;
+  EXPECT_GE(answersPerSecondOf(fleet, "a"), kMinAnswersPerSecond);
+  EXPECT_GE(answersPerSecondOf(fleet, "b"), kMinAnswersPerSecond);
 }
 
-TEST(LayerPlanner, AZoneWithMemoryForTwoHalvesGetsTwoCopies)
+TEST(LayerPlanner, AZoneWithMemoryForTwoCopiesGetsTwo)
 {
-  // A part is lost. Streams go on through the other copy of the same zone,
-  // inside their attempt; the zone never lacks a layer.
+  // When any one replica is lost, streams continue through the other copy of
+  // the same zone within their attempt: the zone never lacks a layer.
   std::vector<Replica> replicas = fourInEachOfTwoZones();
   for (int i = 5; i < 10; ++i) {
     replicas.push_back(replicaOf("a" + std::to_string(i), "a", "slow"));
@@ -215,10 +218,11 @@
   EXPECT_EQ(std::count(held.begin(), held.end(), false), 0);
 }
 
-TEST(LayerPlanner, NeighboursStretchOverALostPart)
+TEST(LayerPlanner, NeighboursExtendOverLostLayers)
 {
-  // Callers of the zone would have to cross to another one for these layers.
-  // What the neighbours hold stays in service while they load.
+  // Otherwise requests of the zone would have to cross to another one for these
+  // layers. The layers that the neighbours hold stay in service while they
+  // load.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   const LayerRange lost = *fleet.at("a2").layers;
@@ -248,7 +252,7 @@
   EXPECT_FALSE(fleet.plan(true).empty());
 }
 
-TEST(LayerPlanner, AReplicaThatComesBackEmptyTakesWhatIsMissing)
+TEST(LayerPlanner, AReplicaWithoutLayersTakesTheMissingOnes)
 {
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
@@ -264,9 +268,10 @@
 
 TEST(LayerPlanner, ASlowReplicaAndTheNeighboursShareAFastOnesPart)
 {
-  // A zone loses the replica with the largest part and gets one of a slower
-  // kind. Alone it takes some of the layers with memory for all slots; the rest
-  // stayed open, and callers of the zone were refused while the others idled.
+  // A zone loses the replica with the most layers and gets one of a slower
+  // kind, which alone can take only some of them with memory for all slots. If
+  // the others stayed open, callers of the zone would be refused while its
+  // other replicas idle.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   const LayerRange lost = *fleet.at("a0").layers;
@@ -287,9 +292,10 @@
 
 TEST(LayerPlanner, ASecondHolderIsMovedToAGapThatNeighboursCannotFill)
 {
-  // A zone's largest part is lost while another replica only doubles what
-  // others hold. The gap's neighbour has room for less than the gap: callers
-  // would cross zones, or be refused, until a replica comes from outside.
+  // A zone loses its replica with the most layers while another one only
+  // duplicates layers of others. The neighbour of the gap has room for less
+  // than the gap. If nothing moved, requests would cross zones, or be refused,
+  // until a new replica joins.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   fleet.joinForLong(replicaOf("a9", "a", "slow"));
@@ -305,11 +311,12 @@
   EXPECT_TRUE(fleet.withinMemory());
 }
 
-TEST(LayerPlanner, AZoneThatNothingMakesWholeIsCutAnew)
+TEST(LayerPlanner, AZoneThatStaysIncompleteIsPartitionedAgain)
 {
-  // A zone's largest part leaves for good, its neighbour has too little room,
-  // and no replica comes. The others idled while the other zone, with half of
-  // the memory, refused callers. After six seconds they share all layers.
+  // A zone permanently loses its replica with the most layers, the neighbour
+  // has too little room, and no replica joins. The remaining replicas would
+  // idle while the other zone, with half of the memory, refuses callers. After
+  // 6 s they share all layers.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   fleet.lose("a0");
@@ -326,7 +333,7 @@
   EXPECT_TRUE(fleet.withinMemory());
 }
 
-TEST(LayerPlanner, WhatWasStretchedIsTakenBackOneAtATime)
+TEST(LayerPlanner, ExtendedReplicasShrinkOneAtATime)
 {
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
@@ -343,11 +350,11 @@
   }
 }
 
-TEST(LayerPlanner, NothingIsTakenBackFromAReplicaAtWork)
+TEST(LayerPlanner, AReplicaThatCarriesRequestsDoesNotShrink)
 {
-  // A replica that was stretched over a lost part carries requests when others
-  // hold that part again. Told to give it up, it would refuse all work until
-  // the last answer through those layers ends, seconds later.
+  // A replica that was extended over lost layers carries requests when others
+  // hold these layers again. If it had to release them, it would refuse all
+  // work until the last answer through them ends, seconds later.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   fleet.lose("a1");
@@ -370,10 +377,11 @@
   EXPECT_FALSE(fleet.planAfter(seconds{ 1 }).empty());
 }
 
-TEST(LayerPlanner, CutsACopyAnewWhenNobodyHoldsALayer)
+TEST(LayerPlanner, PartitionsACopyAgainIfNoReplicaHoldsALayer)
 {
-  // Every request is refused: both copies lost the same fast part, which is
-  // more than its neighbours can take.
+  // Both copies lose the same layers of their fast replicas, which are more
+  // than the neighbours can take. Until they are held again, every request is
+  // refused.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.profile.kinds["slow"].memoryMb = 600;
   fleet.start();
@@ -389,11 +397,11 @@
   EXPECT_TRUE(fleet.withinMemory());
 }
 
-TEST(LayerPlanner, ANewcomerTakesWhatItsOwnZoneLacks)
+TEST(LayerPlanner, ANewReplicaTakesTheLayersThatItsZoneLacks)
 {
-  // Three zones share the layers, each without a stretch of its own. One loses
-  // a replica: all layers still have holders in the other two, but its paths
-  // would cross twice. The newcomer there holds what the lost one held.
+  // Three zones share the layers, each without one range. When one loses a
+  // replica, the other two still hold all layers between them, but paths from
+  // the first would cross twice. The new replica there takes the lost layers.
   Fleet fleet{ {} };
   fleet.profile.kinds["slow"].memoryMb = 900;
   for (const std::string zone : { "a", "b", "c" }) {
@@ -415,8 +423,8 @@
 
 TEST(LayerPlanner, AReplicaThatRefusedIsLeftAloneForASecond)
 {
-  // It carries out an earlier order; asking it four times a second for eight
-  // seconds was 32 refused calls.
+  // It is still carrying out an earlier order. Without a backoff, four orders
+  // per second for eight seconds would cause 32 refused calls.
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
   fleet.joinForLong(replicaOf("a9", "a", "slow"));
@@ -427,7 +435,7 @@
   EXPECT_EQ(fleet.planAfter(milliseconds{ 600 }).size(), 1U);
 }
 
-TEST(LayerPlanner, AnOrderWithoutEffectIsGivenAgainInTheEnd)
+TEST(LayerPlanner, AnOrderWithoutEffectIsIssuedAgainAfterItsTimeout)
 {
   Fleet fleet{ fourInEachOfTwoZones() };
   fleet.start();
@@ -437,7 +445,8 @@
   EXPECT_EQ(fleet.planAfter(seconds{ 13 }).size(), 1U);
 }
 
-/** A zone whose two fast replicas hold a copy, beside one of slow ones. */
+/** Returns a zone whose two fast replicas hold one copy and whose slow ones
+ * hold another. */
 std::vector<Replica>
 fastAndSlowCopy()
 {
@@ -449,9 +458,9 @@
   return replicas;
 }
 
-// Guards against a fast replica that comes back and doubles its like, while
-// slow ones hold its former layers to the end of the day.
-TEST(LayerPlanner, AFastNewcomerTakesWhatSlowOnesStandInFor)
+// Guards against a fast replica that returns and duplicates the layers of
+// another fast one, while its former layers stay on slow ones.
+TEST(LayerPlanner, ANewFastReplicaTakesLayersThatOnlySlowOnesHold)
 {
   Fleet fleet{ fastAndSlowCopy() };
   fleet.start();
@@ -465,8 +474,8 @@
   EXPECT_EQ(*fleet.at("f3").layers, lost);
 }
 
-// Guards against a release in which each new replica is put elsewhere before
-// the old one leaves, and is missing in its place.
+// Guards against a rolling release in which each new replica loads other layers
+// before the old one drains, and is then missing in its place.
 TEST(LayerPlanner, ANewcomerWaitsForThePartOfTheOneThatLeaves)
 {
   Fleet fleet{ fastAndSlowCopy() };
--- a/tests/unit/fleet/PartialCopiesTest.cpp
+++ b/tests/unit/fleet/PartialCopiesTest.cpp
@@ -14,9 +14,9 @@
 
 using namespace fleettest;
 
-/** Replicas with the layers that they were dealt, one zone after the other. */
+/** Returns the replicas of all zones with their assigned layers. */
 std::vector<Replica>
-dealt(const StaggeredCopies& aCopies, const std::string& aKind)
+assignedReplicas(const PartialCopies& aCopies, const std::string& aKind)
 {
   std::vector<Replica> replicas;
   for (std::size_t zone = 0; zone < aCopies.layers.size(); ++zone) {
@@ -33,6 +33,7 @@
   return replicas;
 }
 
+/** Returns the path that a request of mean length gets in a zone. */
 Result<LayerPath>
 pathFrom(const EngineProfile& aProfile,
          const std::vector<Replica>& aReplicas,
@@ -50,66 +51,66 @@
   return findPath(aProfile, candidates, demand);
 }
 
-TEST(StaggeredCopies, ARequestCrossesOnceWhereNoZoneHoldsAWholeCopy)
+TEST(PartialCopies, ARequestCrossesOnceWhereNoZoneHoldsAWholeCopy)
 {
-  // Five zones of two replicas that hold nine of twenty layers each. One copy
-  // dealt over all zones had its callers cross at every part; pipes that carry
-  // a prompt in 200 ms were full at a third of the load and the rest was
-  // refused beside free memory.
+  // Five zones of two replicas that hold nine of twenty layers each. With one
+  // copy spread over all zones, requests would cross at every replica. Links
+  // that take 200 ms for a prompt would then be full at a third of the load,
+  // and the other requests would be refused although memory is free.
   EngineProfile profile = smallProfile();
   profile.kinds["slow"].memoryMb = 950;
   profile.linkMbps = 640;
   const std::vector<const AcceleratorKind*> zone(2, &profile.kinds["slow"]);
-  const StaggeredCopies copies = staggerCopies(
+  const PartialCopies copies = planPartialCopies(
     profile, std::vector<std::vector<const AcceleratorKind*>>(5, zone));
   ASSERT_GT(copies.rate, 0);
-  const auto replicas = dealt(copies, "slow");
+  const auto replicas = assignedReplicas(copies, "slow");
   const auto path = pathFrom(profile, replicas, "z0");
   ASSERT_TRUE(path);
   EXPECT_TRUE(isValidPath(path.value(), replicas, profile.layers));
   EXPECT_EQ(path.value().crossings.size(), 1U);
 }
 
-TEST(StaggeredCopies, AZoneThatJustHoldsACopyKeepsItWhenPipesAreSlow)
+TEST(PartialCopies, AZoneThatJustHoldsACopyKeepsItIfLinksAreSlow)
 {
-  // With memory for two requests beside all layers, a zone serves these
-  // without a pipe; the other two zones share a copy beside it.
+  // A zone with memory for all layers and two requests serves these without a
+  // link. The other two zones share another copy.
   EngineProfile profile = smallProfile();
   profile.kinds["slow"].memoryMb = 1'250;
   profile.linkMbps = 640;
   const AcceleratorKind* slow = &profile.kinds["slow"];
-  const StaggeredCopies copies =
-    staggerCopies(profile, { { slow, slow }, { slow }, { slow } });
+  const PartialCopies copies =
+    planPartialCopies(profile, { { slow, slow }, { slow }, { slow } });
   ASSERT_EQ(copies.layers.size(), 3U);
   EXPECT_EQ(copies.layers[0][0].size() + copies.layers[0][1].size(), 20U);
-  const auto replicas = dealt(copies, "slow");
+  const auto replicas = assignedReplicas(copies, "slow");
   const auto path = pathFrom(profile, replicas, "z0");
   ASSERT_TRUE(path);
   EXPECT_TRUE(path.value().crossings.empty());
 }
 
-TEST(StaggeredCopies, NothingWhereAllZonesTogetherCannotHoldTheModel)
+TEST(PartialCopies, RateIsZeroIfAllZonesTogetherCannotHoldTheModel)
 {
   EngineProfile profile = smallProfile();
   profile.kinds["slow"].memoryMb = 450;
   const AcceleratorKind* slow = &profile.kinds["slow"];
-  EXPECT_EQ(staggerCopies(profile, { { slow, slow }, { slow } }).rate, 0);
+  EXPECT_EQ(planPartialCopies(profile, { { slow, slow }, { slow } }).rate, 0);
 }
 
-RC_GTEST_PROP(StaggeredCopies,
-              WhatIsDealtFitsAndCoversAllLayers,
+RC_GTEST_PROP(PartialCopies,
+              AssignedLayersFitAndCoverTheModel,
               (const std::vector<std::uint8_t>& aZones, std::uint8_t aLinks))
 {
   // Fleets of one to eight zones with up to four replicas of two kinds each,
-  // and pipes from 500 Mbit/s on.
-  constexpr std::size_t kMostZones = 8;
+  // and links of 500 Mbit/s or more.
+  constexpr std::size_t kMaxZones = 8;
   EngineProfile profile = smallProfile();
   profile.linkMbps = 500.0 * (1 + aLinks % 16);
   std::vector<std::vector<const AcceleratorKind*>> zones;
-  for (const std::uint8_t draw : aZones) {
+  for (const std::uint8_t code : aZones) {
     std::vector<const AcceleratorKind*> kinds;
-    for (int i = 0; i < 1 + draw % 4; ++i) {
-      const bool fast = (draw >> (2 + i)) % 2 != 0;
+    for (int i = 0; i < 1 + code % 4; ++i) {
+      const bool fast = (code >> (2 + i)) % 2 != 0;
       kinds.push_back(&profile.kinds[fast ? "fast" : "slow"]);
     }
     std::sort(
@@ -117,12 +118,12 @@
         return aOne->stepFactor < aTwo->stepFactor;
       });
     zones.push_back(kinds);
-    if (zones.size() == kMostZones) {
+    if (zones.size() == kMaxZones) {
       break;
     }
   }
   RC_PRE(!zones.empty());
-  const StaggeredCopies copies = staggerCopies(profile, zones);
+  const PartialCopies copies = planPartialCopies(profile, zones);
   RC_PRE(copies.rate > 0);
   std::set<std::uint32_t> held;
   for (std::size_t zone = 0; zone < zones.size(); ++zone) {
