--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -254,8 +254,7 @@
       static_cast<double>(this->knownPeers.size() + 1);
     const auto listedRelays =
       static_cast<double>(this->shared.peers.read()->size() + 1);
-    const double share =
-      crossesSteadily(engine) ? kFastLinkShare : kSlowLinkShare;
+    const double share = hasFastLinks(engine) ? kFastLinkShare : kSlowLinkShare;
     this->links.setRate(share * engine.linkMbps * kBytesPerMegabit *
                         std::min(reportingRelays / listedRelays, 1.0));
     aDemand.closedLinks = this->links.closedLinks(this->now);
