--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -57,7 +57,7 @@
     // What those that look learn of the store holds for this relay too: nobody
     // else need ask a store that is away.
     this->configReachable = !away;
-    this->shared.storeFails = away;
+    this->shared.configPollFailed = away;
   }
   // A thread whose look has failed asks again by itself.
   const bool proofOld =
--- a/include/poplartrack/relay/FleetControl.h
+++ b/include/poplartrack/relay/FleetControl.h
@@ -60,7 +60,7 @@
                PlaceOrder aPlace);
 
   /** Gives the lease up, so that another relay takes over at once. */
-  void leave();
+  void releaseLease();
 
 private:
   Duration followConfig();
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -83,7 +83,7 @@
 
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::leave()
+FleetControl<Store>::releaseLease()
 {
   this->leaving = true;
   // Told for the whole grace time, "leads" kept every other relay from looking
@@ -122,7 +122,7 @@
 Duration
 FleetControl<Store>::gatherPause() const
 {
-  return StorePollSchedule::gatherPause(this->shared.called ||
+  return StorePollSchedule::gatherPause(this->shared.receivedRequest ||
                                         this->leading != 0);
 }
 
@@ -167,7 +167,7 @@
   if (gone) {
     return;
   }
-  this->shared.storeFails = !aPoll;
+  this->shared.configPollFailed = !aPoll;
   if (!aPoll) {
     if (this->configReachable.exchange(false)) {
       this->onStoreFailure("config", aPoll.error());
--- a/include/poplartrack/relay/QuarantineRows.h
+++ b/include/poplartrack/relay/QuarantineRows.h
@@ -116,8 +116,8 @@
       this->kept[*request].stored = true;
     }
   }
-  if (*this->shared.quarantineStored.read() != stored) {
-    this->shared.quarantineStored.replace(
+  if (*this->shared.storedQuarantine.read() != stored) {
+    this->shared.storedQuarantine.replace(
       std::make_shared<const std::vector<Fingerprint>>(std::move(stored)));
   }
   return true;
--- a/include/poplartrack/relay/RelayShared.h
+++ b/include/poplartrack/relay/RelayShared.h
@@ -37,7 +37,7 @@
   RcuBox<ReplicaView> replicas{ std::make_shared<const ReplicaView>() };
   Freshness<SuspendAwareClock> freshness{ clock };
   /** The latest look at the configuration failed. */
-  std::atomic<bool> storeFails{ false };
+  std::atomic<bool> configPollFailed{ false };
   /** Addresses of the other relays. */
   RcuBox<std::vector<Address>> peers{
     std::make_shared<const std::vector<Address>>()
@@ -45,10 +45,10 @@
   /** Replicas that are taken to be dead; true: another replica named it as
    * what its work waits for, to this relay or another one. */
   using LostReplicas = std::map<std::string, bool>;
-  RcuBox<LostReplicas> lost{ std::make_shared<const LostReplicas>() };
+  RcuBox<LostReplicas> lostReplicas{ std::make_shared<const LostReplicas>() };
   /** Replicas through which requests of any relay pass, kept by the one that
    * holds the placement lease. */
-  RcuBox<std::set<std::string>> busy{
+  RcuBox<std::set<std::string>> busyReplicas{
     std::make_shared<const std::set<std::string>>()
   };
   /** Requests that are sent to no replica. */
@@ -56,13 +56,13 @@
     std::make_shared<const std::vector<QuarantineRecord>>()
   };
   /** ... as the store was last seen to keep them. */
-  RcuBox<std::vector<Fingerprint>> quarantineStored{
+  RcuBox<std::vector<Fingerprint>> storedQuarantine{
     std::make_shared<const std::vector<Fingerprint>>()
   };
   /** Stopping: not ready, and answers close their connections. */
   std::atomic<bool> draining{ false };
   /** A request has come since the start. */
-  std::atomic<bool> called{ false };
+  std::atomic<bool> receivedRequest{ false };
   /** This relay holds the placement lease. */
   std::atomic<bool> holdsLease{ false };
   /** When a relay was last heard that holds it, in microseconds of the clock;
@@ -81,7 +81,7 @@
   /** The balancer has had its time to notice: what still comes, on
    * connections that were kept open, is refused at once. Taken in, a stream
    * would be cut by the end of the grace time. */
-  std::atomic<bool> refusing{ false };
+  std::atomic<bool> refusesRequests{ false };
   /** This relay looks at the store; else others do and tell. */
   std::atomic<bool> polls{ true };
   /** Its latest look at the list of replicas failed. */
--- a/include/poplartrack/relay/ReplicaCalls.h
+++ b/include/poplartrack/relay/ReplicaCalls.h
@@ -45,7 +45,8 @@
  * callbacks run on another thread. */
 struct ReplicaCalls
 {
-  std::function<void(const Address&, std::function<void(ReplicaReport)>)> ask;
+  std::function<void(const Address&, std::function<void(ReplicaReport)>)>
+    queryStatus;
   std::function<void(const Address& aFirst,
                      const std::string& aRequestId,
                      const LayerPath&,
--- a/src/cli/RunRelay.cpp
+++ b/src/cli/RunRelay.cpp
@@ -146,8 +146,8 @@
     "open", static_cast<std::int64_t>(aLoop.openRequests())));
   constexpr Duration kLook = std::chrono::milliseconds{ 50 };
   while (aShared.clock.now() < latest) {
-    aShared.refusing = aShared.clock.now() - start >= kBalancerNotices;
-    if (aShared.refusing && aLoop.openRequests() == 0) {
+    aShared.refusesRequests = aShared.clock.now() - start >= kBalancerNotices;
+    if (aShared.refusesRequests && aLoop.openRequests() == 0) {
       break;
     }
     waitForSignal(kLook);
@@ -201,7 +201,7 @@
   waitForStop(aPath, shared);
   // The lease is given back beside the draining: the store may not answer, and
   // the grace time has begun.
-  std::thread leaving{ [&control] { control.leave(); } };
+  std::thread leaving{ [&control] { control.releaseLease(); } };
   drainRelay(*loop.value(), shared, aSettings);
   leaving.detach();
   shared.log.flush();
--- a/src/relay/PlacementController.cpp
+++ b/src/relay/PlacementController.cpp
@@ -43,7 +43,7 @@
                            TimePoint aNow)
 {
   const auto view = this->shared.replicas.read();
-  const auto lost = this->shared.lost.read();
+  const auto lost = this->shared.lostReplicas.read();
   std::vector<Replica> staying;
   bool uncertain = false;
   const std::set<std::string> gone = this->endedAmong(*view);
@@ -62,7 +62,7 @@
     auto& planner =
       this->planners.try_emplace(aService, LayerPlannerPolicy{}).first->second;
     orders = planner.plan(
-      aEngine, staying, uncertain, *this->shared.busy.read(), aNow);
+      aEngine, staying, uncertain, *this->shared.busyReplicas.read(), aNow);
     this->logGaps(aService, planner.gaps());
   }
   for (const LayerOrder& order : orders) {
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -84,7 +84,7 @@
   aCaller.exchange = exchange.id;
   aCaller.closeWhenAnswered = !aCaller.parser->keep_alive();
   this->exchanges.emplace(exchange.id, std::move(owned));
-  this->shared.called = true;
+  this->shared.receivedRequest = true;
   ++this->openCount;
   this->admit(exchange);
 }
@@ -121,7 +121,7 @@
       aExchange, Error{ ErrorKind::BadRequest, "host, id or path" }, true);
     return;
   }
-  if (this->shared.refusing) {
+  if (this->shared.refusesRequests) {
     this->refuse(aExchange, Error{ ErrorKind::Draining, "stopping" }, true);
     return;
   }
@@ -153,7 +153,8 @@
 ConfigProof
 RelayLoop::Impl::configProof() const
 {
-  return ConfigProof{ this->shared.freshness.age(), this->shared.storeFails };
+  return ConfigProof{ this->shared.freshness.age(),
+                      this->shared.configPollFailed };
 }
 
 bool
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -197,7 +197,7 @@
 void
 RelayLoop::Impl::refreshQuarantine()
 {
-  const auto stored = this->shared.quarantineStored.read();
+  const auto stored = this->shared.storedQuarantine.read();
   if (stored != this->quarantineRead) {
     this->quarantineRead = stored;
     for (const Fingerprint& request : *stored) {
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -274,11 +274,11 @@
       lost.insert_or_assign(replica, true);
     }
   }
-  const auto before = this->shared.lost.read();
+  const auto before = this->shared.lostReplicas.read();
   if (*before == lost) {
     return;
   }
-  this->shared.lost.replace(
+  this->shared.lostReplicas.replace(
     std::make_shared<const RelayShared::LostReplicas>(lost));
   bool changed = false;
   for (const auto& [replica, certain] : lost) {
@@ -313,7 +313,7 @@
       busy.insert(replica.id);
     }
   }
-  this->shared.busy.replace(
+  this->shared.busyReplicas.replace(
     std::make_shared<const std::set<std::string>>(std::move(busy)));
 }
 
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -65,7 +65,7 @@
 bool
 RelayLoop::Impl::throughLost(const Exchange& aExchange) const
 {
-  const auto lost = this->shared.lost.read();
+  const auto lost = this->shared.lostReplicas.read();
   const auto& parts = aExchange.path.parts;
   return !lost->empty() &&
          std::any_of(parts.begin(), parts.end(), [&](const PathPart& aPart) {
@@ -115,7 +115,7 @@
   }
   this->askedAt[aPart.replica] = this->now;
   this->shared.metrics.count("replica_questions_total");
-  this->calls.ask(
+  this->calls.queryStatus(
     aPart.address,
     [this, replica = aPart.replica](const ReplicaReport& aReport) {
       this->post(
--- a/tests/unit/relay/QuarantineRowsTest.cpp
+++ b/tests/unit/relay/QuarantineRowsTest.cpp
@@ -119,7 +119,7 @@
   QuarantineRows<RowStore> reader{ nextLife, this->store };
   reader.refresh(kStart + seconds{ 5 });
   reader.refresh(kStart + seconds{ 6 });
-  EXPECT_EQ(*nextLife.quarantineStored.read(),
+  EXPECT_EQ(*nextLife.storedQuarantine.read(),
             std::vector<Fingerprint>{ kRequest });
   reader.refresh(kStart + seconds{ 7 });
   EXPECT_EQ(this->store.rows.count(toText(kRequest)), 1U);
@@ -173,7 +173,7 @@
   rows.refresh(kStart + seconds{ 3 });
   this->store.rows[toText(kRequest)] = TableRow{ toText(kRequest), "", 7 };
   rows.refresh(kStart + seconds{ 4 });
-  EXPECT_EQ(*this->shared.quarantineStored.read(),
+  EXPECT_EQ(*this->shared.storedQuarantine.read(),
             std::vector<Fingerprint>{ kRequest });
 }
 
--- a/tests/unit/relay/RelayCrashTest.cpp
+++ b/tests/unit/relay/RelayCrashTest.cpp
@@ -155,7 +155,7 @@
   world.addReplica("one", "plain", listener.address());
   const Fingerprint content =
     fingerprintOf({ "shop", "shop.example", "POST", "/again/x", "content" });
-  world.shared.quarantineStored.replace(
+  world.shared.storedQuarantine.replace(
     std::make_shared<const std::vector<Fingerprint>>(1, content));
   world.start();
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -507,7 +507,7 @@
   EXPECT_TRUE(has(caller.readUntil("id: 1"), "Connection: close\r\n"));
   replica.send(RelayWorld::event(2) + RelayWorld::kLastChunk);
   EXPECT_TRUE(has(caller.readToEnd(), "0\r\n\r\n"));
-  this->world.shared.refusing = true;
+  this->world.shared.refusesRequests = true;
   other.send(RelayWorld::request("/once/x", "id-2"));
   EXPECT_TRUE(has(other.readToEnd(), "503 Service Unavailable"));
 }
--- a/tests/unit/relay/RelayWorld.h
+++ b/tests/unit/relay/RelayWorld.h
@@ -119,8 +119,8 @@
     settings.callers = { "127.0.0.1", 0 };
     settings.peers = { "127.0.0.1", 0 };
     ReplicaCalls calls;
-    calls.ask = [](const Address&, const std::function<void(ReplicaReport)>&) {
-    };
+    calls.queryStatus = [](const Address&,
+                           const std::function<void(ReplicaReport)>&) {};
     calls.repath = [this](const Address&,
                           const std::string&,
                           const LayerPath&,
