--- a/include/poplartrack/relay/ReplicaCalls.h
+++ b/include/poplartrack/relay/ReplicaCalls.h
@@ -25,7 +25,7 @@
   /** When it started, in ms since 1970; 0: it does not say. */
   std::uint64_t startedAtMs = 0;
   /** How many times as long as declared its work takes. */
-  double pace = 1;
+  double slowdown = 1;
   std::vector<StalledWork> stalled;
 };
 
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -176,7 +176,7 @@
   }
   // What runs there goes on, slower: moving hundreds of streams at once would
   // take the pipes between zones for longer than the slow part costs them.
-  this->health.onPace(aReplica, aReport.pace);
+  this->health.onPace(aReplica, aReport.slowdown);
   if (aReport.stalled.empty()) {
     this->askRestOfPaths(aReplica);
     return;
--- a/tests/unit/users_platform/DecodersTest.cpp
+++ b/tests/unit/users_platform/DecodersTest.cpp
@@ -160,7 +160,7 @@
     R"({"pace":2.5,"Stalled":[{"Id":"r1","Address":"10.0.0.2:80"},
                               {"Id":"r2","Address":"nonsense"}]})");
   ASSERT_TRUE(report);
-  EXPECT_EQ(report.value().pace, 2.5);
+  EXPECT_EQ(report.value().slowdown, 2.5);
   ASSERT_EQ(report.value().stalled.size(), 1U);
   EXPECT_EQ(report.value().stalled[0].requestId, "r1");
 }
