--- a/include/poplartrack/relay/RelayHeaderNames.h
+++ b/include/poplartrack/relay/RelayHeaderNames.h
@@ -8,39 +8,42 @@
 namespace poplartrack {
 
 /** Names of the header fields that callers, replicas and relays exchange. The
- * adapter of a platform fills them in; nothing else knows their text. */
+ * platform adapter fills them in; no other code contains their text. */
 struct RelayHeaderNames
 {
-  /** Identifies one attempt of a caller; replicas echo it. */
+  /** Identifies one attempt of a caller; replicas echo its value. */
   std::string requestId;
-  /** Time that the caller still waits, in ms. */
+  /** How much longer the caller waits, in ms. */
   std::string deadline;
-  /** "prompt,most answer" in tokens. */
+  /** Token counts "P,A": length of the prompt, maximum length of the answer. */
   std::string tokens;
-  /** The caller's estimate of the answer's tokens. */
+  /** The caller's estimate of the answer's length in tokens. */
   std::string lengthHint;
-  /** The caller's API key; never passed on. */
+  /** The caller's API key; never forwarded. */
   std::string apiKey;
-  /** Name of the client account, set by the relay alone. */
+  /** Name of the client account; only the relay sets it. */
   std::string account;
-  /** Id of the replica that is meant; any other refuses. */
+  /** Id of the replica that the request is meant for; any other replica refuses
+   * it. */
   std::string expectReplica;
-  /** On an answer: the replica did not run the request. */
+  /** On an answer: the replica did not execute the request. */
   std::string notRun;
-  /** The path of a request through replicas. */
+  /** The replicas that a request passes through, with the layers that each one
+   * computes. */
   std::string path;
-  /** Urgency at the replicas, 0 to 9. */
+  /** Urgency of the request at the replicas, 0 (most urgent) to 9. */
   std::string urgency;
-  /** On a refusal: address of the replica at fault. */
+  /** On a refusal: address of the responsible replica. */
   std::string faultyReplica;
-  /** On an answer: requests a second that the replica takes from all relays
-   * together, a decimal number, for as long as its answers say so. */
+  /** On an answer: the replica's rate limit, in requests a second from all
+   * relays together, as a decimal number. It holds as long as the replica's
+   * answers carry it. */
   std::string rateLimit;
-  /** Last event that the receiver of a stream has. */
+  /** Id of the last event that the receiver of a stream has. */
   std::string lastEventId;
   /** Proves that an answer came from a replica. */
   std::string stamp;
-  /** Writes a path as the value of its field. */
+  /** Formats a path as the value of the path field. */
   std::function<std::string(const LayerPath&)> pathText;
 };
 
--- a/include/poplartrack/relay/RelayShared.h
+++ b/include/poplartrack/relay/RelayShared.h
@@ -21,78 +21,87 @@
 
 namespace poplartrack {
 
-/** What the threads of a relay process share. Values are immutable and
- * replaced whole; the path of a request reads them without a lock. */
+/** State that the threads of a relay process share. Values in an RcuBox are
+ * immutable and replaced as a whole, so the request path reads them without a
+ * lock. */
 struct RelayShared
 {
-  /** Logs go to this descriptor. */
+  /** aLogFd: descriptor that the log is written to. */
   explicit RelayShared(int aLogFd)
     : log(aLogFd)
   {
   }
 
   SuspendAwareClock clock;
-  /** Null until one was read. */
+  /** The configuration in force; null until the first one is read. */
   RcuBox<RelayConfig> config{ nullptr };
+  /** The latest replica list. */
   RcuBox<ReplicaView> replicas{ std::make_shared<const ReplicaView>() };
+  /** Age of the newest proof that the configuration is up to date. */
   Freshness<SuspendAwareClock> freshness{ clock };
-  /** The latest look at the configuration failed. */
+  /** The latest poll of the configuration failed. On a relay that does not poll
+   * the store: the store readers report an outage. */
   std::atomic<bool> configPollFailed{ false };
   /** Addresses of the other relays. */
   RcuBox<std::vector<Address>> peers{
     std::make_shared<const std::vector<Address>>()
   };
-  /** Replicas that are taken to be dead; true: another replica named it as
-   * what its work waits for, to this relay or another one. */
+  /** Replicas that are presumed dead or too slow, by id. False: the replica did
+   * not answer and nothing else supports that. True: there is further evidence,
+   * such as another replica that reported being blocked on it, or a restart. */
   using LostReplicas = std::map<std::string, bool>;
   RcuBox<LostReplicas> lostReplicas{ std::make_shared<const LostReplicas>() };
-  /** Replicas through which requests of any relay pass, kept by the one that
-   * holds the placement lease. */
+  /** Ids of the replicas that serve requests of any relay. Kept up to date only
+   * while this relay holds the placement lease. */
   RcuBox<std::set<std::string>> busyReplicas{
     std::make_shared<const std::set<std::string>>()
   };
-  /** Requests that are sent to no replica. */
+  /** Requests in quarantine: they are sent to no replica. */
   RcuBox<std::vector<QuarantineRecord>> quarantine{
     std::make_shared<const std::vector<QuarantineRecord>>()
   };
-  /** ... as the store was last seen to keep them. */
+  /** Requests in quarantine according to the latest read of the store. */
   RcuBox<std::vector<Fingerprint>> storedQuarantine{
     std::make_shared<const std::vector<Fingerprint>>()
   };
-  /** Stopping: not ready, and answers close their connections. */
+  /** The relay is shutting down: it reports not ready, and its answers close
+   * their connections. */
   std::atomic<bool> draining{ false };
-  /** A request has come since the start. */
+  /** A request has arrived since the start. */
   std::atomic<bool> receivedRequest{ false };
   /** This relay holds the placement lease. */
   std::atomic<bool> holdsLease{ false };
-  /** When a relay was last heard that holds it, in microseconds of the clock;
-   * 0: never. */
+  /** When the latest status message of the lease holder arrived, in
+   * microseconds of the clock; 0: never, or the lease was released since. */
   std::atomic<std::int64_t> leaderSeenAt{ 0 };
-  /** Fencing number of the lease that this relay held and gave up; 0: none. */
+  /** Fencing number of the lease that this relay held last and released or
+   * lost; 0: none. */
   std::atomic<std::uint64_t> releasedFence{ 0 };
-  /** The highest of which another relay told so. */
+  /** Highest released fencing number that another relay reported. */
   std::atomic<std::uint64_t> peerReleasedFence{ 0 };
-  /** Relays that are heard and look at the store, without this one. */
+  /** Number of other known relays that poll the store. */
   std::atomic<std::size_t> storeReaders{ 0 };
-  /** Newest configuration of which another relay spoke. */
+  /** Newest configuration version that another relay reported. */
   std::atomic<std::uint64_t> peerConfigVersion{ 0 };
-  /** Newest change of the replicas' list of which another relay spoke. */
+  /** Newest replica list version that another relay reported. */
   std::atomic<std::uint64_t> peerListVersion{ 0 };
-  /** The balancer has had its time to notice: what still comes, on
-   * connections that were kept open, is refused at once. Taken in, a stream
-   * would be cut by the end of the grace time. */
+  /** New requests are refused at once. Set during shutdown when the load
+   * balancer has had time to notice; requests still arrive on connections that
+   * were kept open. If one were admitted, the end of the grace time would cut
+   * its stream. */
   std::atomic<bool> refusesRequests{ false };
-  /** This relay looks at the store; else others do and tell. */
+  /** This relay is a store reader: it polls the store. Otherwise store readers
+   * send it the changes. */
   std::atomic<bool> polls{ true };
-  /** Its latest look at the list of replicas failed. */
+  /** The latest poll of the replica list by this relay failed. */
   std::atomic<bool> pollsFail{ false };
-  /** When all relays that look last said that the store is away, in
+  /** When all store readers last reported that the store is unavailable, in
    * microseconds of the clock; 0: never. */
   std::atomic<std::int64_t> peersSawOutageAt{ 0 };
-  /** Tells the relays of the zone what a look at the list brought; empty where
-   * there is nobody to tell. */
+  /** Sends the changes of a replica list poll to the relays of the own zone;
+   * empty where there are no peers. */
   std::function<void(const ReplicaListDelta&)> sendListDelta;
-  /** What others told of the list. */
+  /** Replica list updates received from other relays. */
   ReplicaListInbox listInbox;
   Metrics metrics;
   EventLog log;
--- a/include/poplartrack/relay/ReplicaCalls.h
+++ b/include/poplartrack/relay/ReplicaCalls.h
@@ -10,43 +10,49 @@
 
 namespace poplartrack {
 
-/** Work at a replica that waits for another one. */
+/** A request that has stalled at a replica because of another replica. */
 struct StalledWork
 {
   std::string requestId;
-  /** The replica that it waits for. */
+  /** Address of the replica that the request is blocked on. */
   Address blockedOn;
 };
 
-/** What a replica said when it was asked how it does. */
+/** A replica's answer to a status query. */
 struct ReplicaReport
 {
+  /** The replica answered; otherwise the other fields keep their defaults. */
   bool reached = false;
-  /** When it started, in ms since 1970; 0: it does not say. */
+  /** Start time of the replica, in ms since 1970; 0: not reported. */
   std::uint64_t startedAtMs = 0;
-  /** How many times as long as declared its work takes. */
+  /** Measured duration of its work divided by the declared duration. */
   double slowdown = 1;
+  /** Requests that make no progress because of another replica. */
   std::vector<StalledWork> stalled;
 };
 
-/** How an order to move a running request to another path ended. */
+/** Outcome of an order to move a running request to another path. */
 enum class RepathOutcome : std::uint8_t
 {
-  /** It goes on there. */
+  /** The request continues on the new path. */
   Moved,
   /** The first replica does not know the request. */
   NoSuchRequest,
-  /** A part of the new path is missing or has no room. */
+  /** A replica of the new path is missing or has no capacity. */
   PartMissing,
+  /** Any other failure, including an answer that did not arrive. */
   Failed,
 };
 
-/** Calls to replicas beside the requests themselves. They return at once; the
- * callbacks run on another thread. */
+/** Control calls to replicas, separate from the requests themselves. They
+ * return at once; the callbacks run on another thread. */
 struct ReplicaCalls
 {
+  /** Queries the status of the replica at this address. */
   std::function<void(const Address&, std::function<void(ReplicaReport)>)>
     queryStatus;
+  /** Orders the first replica of a request's path to continue the request on
+   * another path. */
   std::function<void(const Address& aFirst,
                      const std::string& aRequestId,
                      const LayerPath&,
