--- a/include/poplartrack/relay/QuarantineRows.h
+++ b/include/poplartrack/relay/QuarantineRows.h
@@ -14,10 +14,10 @@
 namespace poplartrack {
 
 /**
- * The quarantine as rows of the store, so that it outlasts the loss of all
- * relays. A row is written by the relays that saw the end that decided it, or
- * else by the one that holds the placement lease, which also deletes it when it
- * is over. One thread calls.
+ * Keeps the quarantine as rows of the store, one for each request, so that it
+ * survives the loss of all relays. A row is written by the relays that observed
+ * the deciding crash, or else by the holder of the placement lease. It is
+ * deleted when the quarantine is over. Not thread-safe.
  */
 template<PlatformLike Store>
 class QuarantineRows
@@ -29,91 +29,104 @@
   {
   }
 
-  /** Reads the rows when that is due, and writes and deletes what has changed.
-   */
+  /** Reads the rows if a read is due, writes rows for new quarantines and
+   * deletes those of quarantines that are over. */
   void refresh(TimePoint aNow)
   {
     if (this->startedAt == TimePoint{}) {
       this->startedAt = aNow;
-      this->heardAt = aNow;
+      this->lastConnectedAt = aNow;
     }
-    if (aNow < this->nextTry) {
+    if (aNow < this->nextAttempt) {
       return;
     }
-    bool done = true;
-    if (this->wantsRead(aNow)) {
-      done = this->read(aNow);
+    bool succeeded = true;
+    if (this->isReadDue(aNow)) {
+      succeeded = this->readRows(aNow);
     }
-    done = this->write() && done;
-    if (!done) {
-      this->nextTry = aNow + kRetryPause;
+    succeeded = this->writeChanges() && succeeded;
+    if (!succeeded) {
+      this->nextAttempt = aNow + kRetryDelay;
     }
   }
 
 private:
-  /** By then it is known who looks at the store for the others, and they tell
-   * what they read. */
-  static constexpr Duration kSettle = std::chrono::milliseconds{ 1'000 };
-  /** A relay that has heard none of the others that look for this long is cut
-   * off from them. Those that have just started do not hear each other yet. */
-  static constexpr Duration kAlone = std::chrono::milliseconds{ 2'500 };
-  /** It reads this often: nobody tells it what is new. */
-  static constexpr Duration kAlonePause = std::chrono::milliseconds{ 1'000 };
-  static constexpr Duration kRetryPause = std::chrono::milliseconds{ 1'500 };
+  /** No read until this long after the start. By then the store readers are
+   * chosen, and they report what they read to the others. */
+  static constexpr Duration kStartupDelay = std::chrono::milliseconds{ 1'000 };
+  /** A relay that has received nothing from any store reader for this long is
+   * isolated. Relays that have just started do not know each other yet, so the
+   * timeout is longer than kStartupDelay. */
+  static constexpr Duration kIsolationTimeout =
+    std::chrono::milliseconds{ 2'500 };
+  /** An isolated relay reads this often, as nobody reports changes to it. */
+  static constexpr Duration kIsolatedReadInterval =
+    std::chrono::milliseconds{ 1'000 };
+  /** Delay after a call that failed. */
+  static constexpr Duration kRetryDelay = std::chrono::milliseconds{ 1'500 };
   static constexpr const char* kTable = "quarantine";
-  static constexpr std::size_t kMost = 4'096;
+  /** Most rows that one read takes. */
+  static constexpr std::size_t kMaxRows = 4'096;
 
-  [[nodiscard]] bool wantsRead(TimePoint aNow)
+  /** Returns whether to read the rows now: once while connected to other store
+   * readers or without peers, and regularly while isolated. */
+  [[nodiscard]] bool isReadDue(TimePoint aNow)
   {
     if (this->shared.storeReaders > 0 || this->shared.peers.read()->empty()) {
-      this->heardAt = aNow;
+      this->lastConnectedAt = aNow;
     }
-    if (!this->shared.polls || aNow - this->startedAt < kSettle) {
+    if (!this->shared.polls || aNow - this->startedAt < kStartupDelay) {
       return false;
     }
-    const bool alone = aNow - this->heardAt >= kAlone;
-    return alone ? aNow - this->readAt >= kAlonePause
-                 : !this->wasRead && this->heardAt == aNow;
+    const bool isolated = aNow - this->lastConnectedAt >= kIsolationTimeout;
+    return isolated ? aNow - this->readAt >= kIsolatedReadInterval
+                    : !this->hasRead && this->lastConnectedAt == aNow;
   }
-  bool read(TimePoint aNow);
-  bool write();
-  bool remove(const std::string& aKey);
+  /** Reads all rows and publishes them. Returns false if the store failed. */
+  bool readRows(TimePoint aNow);
+  /** Writes and deletes the rows that are due. Returns false if a call to the
+   * store failed. */
+  bool writeChanges();
+  /** Deletes a row. Returns true if it is no longer stored. */
+  bool removeRow(const std::string& aKey);
 
   RelayShared& shared;
   Store& store;
   TimePoint startedAt{};
-  /** When others that look were heard last, or there were none to hear. */
-  TimePoint heardAt{};
-  TimePoint nextTry{};
+  /** When this relay last knew another store reader or had no peers. */
+  TimePoint lastConnectedAt{};
+  TimePoint nextAttempt{};
   TimePoint readAt{};
-  bool wasRead = false;
-  /** What is known of a request's row. */
-  struct Kept
+  bool hasRead = false;
+  /** What this relay knows of a request's row. */
+  struct RowState
   {
+    /** The store has the row. */
     bool stored = false;
-    /** It was in quarantine here: what is no longer, is over. What has just
-     * been read is not yet. */
-    bool seen = false;
+    /** The request has been in quarantine at this relay. If it no longer is,
+     * its quarantine is over. A row that has just been read is not in
+     * quarantine here yet, and must not be deleted for that. */
+    bool quarantinedHere = false;
   };
-  std::map<Fingerprint, Kept> kept;
+  std::map<Fingerprint, RowState> rowStates;
 };
 
 template<PlatformLike Store>
 bool
-QuarantineRows<Store>::read(TimePoint aNow)
+QuarantineRows<Store>::readRows(TimePoint aNow)
 {
   const Result<std::vector<TableRow>> rows =
-    this->store.scanRows(kTable, {}, {}, kMost);
+    this->store.scanRows(kTable, {}, {}, kMaxRows);
   if (!rows) {
     return false;
   }
-  this->wasRead = true;
+  this->hasRead = true;
   this->readAt = aNow;
   std::vector<Fingerprint> stored;
   for (const TableRow& row : rows.value()) {
     if (const auto request = fingerprintFromText(row.key)) {
       stored.push_back(*request);
-      this->kept[*request].stored = true;
+      this->rowStates[*request].stored = true;
     }
   }
   if (*this->shared.storedQuarantine.read() != stored) {
@@ -125,39 +138,40 @@
 
 template<PlatformLike Store>
 bool
-QuarantineRows<Store>::write()
+QuarantineRows<Store>::writeChanges()
 {
   const auto records = this->shared.quarantine.read();
-  bool done = true;
-  std::set<Fingerprint> present;
+  bool succeeded = true;
+  std::set<Fingerprint> quarantined;
   for (const QuarantineRecord& record : *records) {
-    present.insert(record.request);
-    Kept& row = this->kept[record.request];
-    row.seen = true;
+    quarantined.insert(record.request);
+    RowState& row = this->rowStates[record.request];
+    row.quarantinedHere = true;
     if (!row.stored && (record.own || this->shared.holdsLease)) {
       const Result<std::vector<std::uint64_t>> written = this->store.transact(
         { TableWrite{ kTable, toText(record.request), 0, std::string{} } });
-      // In a conflict another relay was first.
+      // A conflict means that another relay has written the row.
       row.stored = written || written.error().kind == ErrorKind::Conflict;
-      done = done && row.stored;
+      succeeded = succeeded && row.stored;
     }
   }
-  std::erase_if(this->kept, [&](const auto& aEntry) {
+  std::erase_if(this->rowStates, [&](const auto& aEntry) {
     const auto& [request, row] = aEntry;
-    if (!row.seen || present.contains(request)) {
+    if (!row.quarantinedHere || quarantined.contains(request)) {
       return false;
     }
-    const bool mine = row.stored || this->shared.holdsLease;
-    const bool gone = !mine || this->remove(toText(request));
-    done = done && gone;
-    return gone;
+    // The other relays that know of the quarantine leave the row alone.
+    const bool responsible = row.stored || this->shared.holdsLease;
+    const bool removed = !responsible || this->removeRow(toText(request));
+    succeeded = succeeded && removed;
+    return removed;
   });
-  return done;
+  return succeeded;
 }
 
 template<PlatformLike Store>
 bool
-QuarantineRows<Store>::remove(const std::string& aKey)
+QuarantineRows<Store>::removeRow(const std::string& aKey)
 {
   const Result<std::optional<TableRow>> row = this->store.readRow(kTable, aKey);
   if (!row) {
--- a/include/poplartrack/relay/RelayDirectory.h
+++ b/include/poplartrack/relay/RelayDirectory.h
@@ -12,8 +12,9 @@
 
 namespace poplartrack {
 
-/** The list of a region's relays, as rows of the store: each writes where it
- * takes datagrams, and reads where the others do. One thread calls. */
+/** The list of a region's relays, kept as rows of the store. Each relay writes
+ * the address at which it receives datagrams and reads those of the others. Not
+ * thread-safe. */
 template<PlatformLike Store>
 class RelayDirectory
 {
@@ -27,90 +28,99 @@
   {
   }
 
-  /** Writes the own row, if it is not there yet, and reads the others' when
-   * that is due. */
+  /** Writes this relay's row until that has succeeded, and reads the other rows
+   * when a read is due. */
   void refresh(TimePoint aNow)
   {
-    if (aNow < this->nextTry) {
+    if (aNow < this->nextAttempt) {
       return;
     }
-    if (!this->joined) {
-      this->join();
+    if (!this->registered) {
+      this->registerSelf();
     }
-    const Duration pause = this->shared.polls ? kReadPause : kReadPauseOthers;
-    if (!this->listed || aNow - this->readAt >= pause) {
-      this->read(aNow);
+    const Duration interval =
+      this->shared.polls ? kReadInterval : kNonReaderInterval;
+    if (!this->peersRead || aNow - this->peersReadAt >= interval) {
+      this->readPeers(aNow);
     }
-    const bool done =
-      this->joined && this->listed && aNow - this->readAt < pause;
-    this->nextTry = done ? aNow : aNow + kRetryPause;
+    const bool upToDate = this->registered && this->peersRead &&
+                          aNow - this->peersReadAt < interval;
+    this->nextAttempt = upToDate ? aNow : aNow + kRetryDelay;
   }
 
 private:
-  /** The list is read again this often: a relay that joins is heard by the
-   * others from its own words, and hears them after this long at most. */
-  static constexpr Duration kReadPause = std::chrono::seconds{ 20 };
-  /** ... and by those that do not look at the store for others: they are told
-   * of what they miss by the words of those that do. */
-  static constexpr Duration kReadPauseOthers = std::chrono::seconds{ 60 };
-  /** Pause after a call that failed. Tried in every round of duties, four times
-   * a second, the list was most of what relays asked of a store that was away:
-   * up to 770 calls in 8 s, 24 relays. */
-  static constexpr Duration kRetryPause = std::chrono::milliseconds{ 1'500 };
+  /** Interval between reads of the list by a store reader. Other relays learn
+   * of a new relay from its status messages; it learns of them within this
+   * time. */
+  static constexpr Duration kReadInterval = std::chrono::seconds{ 20 };
+  /** Interval between reads by other relays. They learn of relays that they
+   * miss from the status messages of the store readers. */
+  static constexpr Duration kNonReaderInterval = std::chrono::seconds{ 60 };
+  /** Delay after a call that failed. Retries in every housekeeping round, four
+   * times a second, are most of the calls that relays make to an unavailable
+   * store: up to 770 calls in 8 s with 24 relays. */
+  static constexpr Duration kRetryDelay = std::chrono::milliseconds{ 1'500 };
   static constexpr const char* kTable = "relays";
-  /** Most relays of one region. Those left out would not hear each other, and
-   * each would take the retry budget's slack for its own. */
-  static constexpr std::size_t kMost = 1'000;
+  /** Most relays of one region. Relays beyond it would not receive each other's
+   * status messages, and each would use the whole slack of the retry budget. */
+  static constexpr std::size_t kMaxRelays = 1'000;
 
-  void join();
-  void read(TimePoint aNow);
+  /** Writes this relay's row. */
+  void registerSelf();
+  /** Reads the rows of all relays and publishes the addresses of the others. */
+  void readPeers(TimePoint aNow);
 
   const RelaySettings& settings;
   RelayShared& shared;
   Store& store;
-  bool joined = false;
-  bool listed = false;
-  TimePoint readAt{};
-  TimePoint nextTry{};
+  /** The store has this relay's row. */
+  bool registered = false;
+  /** The list has been read at least once. */
+  bool peersRead = false;
+  /** When the list was last read. */
+  TimePoint peersReadAt{};
+  /** No call before this time. */
+  TimePoint nextAttempt{};
 };
 
 template<PlatformLike Store>
 void
-RelayDirectory<Store>::join()
+RelayDirectory<Store>::registerSelf()
 {
   const std::string key = this->settings.region + "/" + this->settings.name;
-  const std::string own = toText(this->settings.peers);
-  // A fleet that starts anew has no rows: written at once, each relay's first
-  // calls are one fewer.
-  this->joined =
-    this->store.transact({ TableWrite{ kTable, key, 0, own } }).ok();
-  if (this->joined) {
+  const std::string ownAddress = toText(this->settings.peers);
+  // Writes before it reads: a new fleet has no rows yet, so this saves a call
+  // for each relay.
+  this->registered =
+    this->store.transact({ TableWrite{ kTable, key, 0, ownAddress } }).ok();
+  if (this->registered) {
     return;
   }
   const Result<std::optional<TableRow>> row = this->store.readRow(kTable, key);
   if (!row) {
     return;
   }
-  if (row.value() && row.value()->value == own) {
-    this->joined = true;
+  if (row.value() && row.value()->value == ownAddress) {
+    this->registered = true;
     return;
   }
   const std::uint64_t expect = row.value() ? row.value()->version : 0;
-  this->joined =
-    this->store.transact({ TableWrite{ kTable, key, expect, own } }).ok();
+  this->registered =
+    this->store.transact({ TableWrite{ kTable, key, expect, ownAddress } })
+      .ok();
 }
 
 template<PlatformLike Store>
 void
-RelayDirectory<Store>::read(TimePoint aNow)
+RelayDirectory<Store>::readPeers(TimePoint aNow)
 {
   const Result<std::vector<TableRow>> rows =
-    this->store.scanRows(kTable, this->settings.region + "/", {}, kMost);
+    this->store.scanRows(kTable, this->settings.region + "/", {}, kMaxRelays);
   if (!rows) {
     return;
   }
-  this->listed = true;
-  this->readAt = aNow;
+  this->peersRead = true;
+  this->peersReadAt = aNow;
   std::vector<Address> peers;
   for (const TableRow& row : rows.value()) {
     const Result<Address> address = addressFromText(row.value);
