--- a/include/poplartrack/relay/RelaySettings.h
+++ b/include/poplartrack/relay/RelaySettings.h
@@ -13,51 +13,56 @@
 
 namespace poplartrack {
 
-/** Settings of one relay process, as its instance's settings file gives them.
+/** Settings of one relay process, read from the settings file of its instance.
  */
 struct RelaySettings
 {
+  /** Name of the process, unique. */
   std::string name;
+  /** Availability zone of the instance. */
   std::string zone;
   std::string region;
-  /** HTTP for callers. */
+  /** Listening address for callers, HTTP. */
   Address callers;
-  /** HTTP for the balancer's readiness questions and for metrics. */
+  /** Listening address for readiness checks of the load balancer and for
+   * metrics, HTTP. */
   Address health;
-  /** Datagrams between relays. */
+  /** Listening address for datagrams from other relays. */
   Address peers;
-  /** The shared store. */
+  /** Address of the shared store. */
   Address store;
-  /** Descriptors that this process may have. */
+  /** Limit on the open file descriptors of this process. */
   std::size_t descriptors = 1024;
-  /** After the store's acknowledgement that a replica leaves, no new work is
-   * sent there beyond this. */
+  /** A replica gets no new work from this long after the store acknowledged
+   * that it drains. */
   Duration drain = std::chrono::milliseconds{ 2'000 };
-  /** From SIGTERM to SIGKILL. */
+  /** Grace time for the shutdown, from SIGTERM to SIGKILL. */
   Duration grace = std::chrono::seconds{ 8 };
-  /** A key that was taken away works no longer than this. */
+  /** A revoked API key is rejected after this long at the latest. */
   Duration revoke = std::chrono::milliseconds{ 5'000 };
-  /** After the store's acknowledgement of a configuration, requests are handled
-   * by it from then on at the latest. */
+  /** Requests are handled by a new configuration from this long after the store
+   * acknowledged it, at the latest. */
   Duration configDeadline = std::chrono::milliseconds{ 2'000 };
-  /** Whether the bound on keys holds also for an instance that is cut off. */
+  /** Whether the bound on revoked keys also holds for an instance that is cut
+   * off from the store. */
   bool strictRevoke = true;
-  /** Bound on second tries, over all relays: ratio * requests + slack in any
-   * window. */
+  /** Retry budget of all relays together: at most retryRatio * requests +
+   * retrySlack retries in any window of length retryWindow. */
   double retryRatio = 0.2;
   Duration retryWindow = std::chrono::seconds{ 10 };
   double retrySlack = 100;
-  /** Work that depends on a dead replica ends after this. */
+  /** A replica ends work that depends on a dead replica after this time. */
   Duration stall = std::chrono::milliseconds{ 2'500 };
-  /** Replicas register again this often. */
+  /** Interval at which replicas renew their registration. */
   Duration heartbeat = std::chrono::milliseconds{ 1'200 };
 };
 
-/** Every setting of a relay process. */
+/** Returns the description of every setting of a relay process. */
 std::span<const SettingRow>
 relaySettings();
 
-/** Parses and checks the text of a relay's settings file. */
+/** Parses and checks the text of a relay's settings file. aFile: its name, for
+ * the messages. */
 Checked<RelaySettings>
 parseRelaySettings(const std::string& aFile, std::string_view aText);
 
