--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -1,101 +1,101 @@
 #pragma once
 
-// Reading what other relays have had for a while, beside a look that hangs.
+// Catch-up reads: if another relay has had a newer configuration or replica
+// list for a while, this relay's own long poll may hang on a dead connection. A
+// second thread then reads the store without waiting for that poll.
 
 namespace poplartrack {
 namespace fleet_control {
 
-/** Another relay has had something newer for this long: the look that is under
- * way will not bring it. An answer of the store takes some ms. */
-constexpr Duration kBehind = std::chrono::milliseconds{ 300 };
+/** If another relay has had a newer version for this long, the poll in progress
+ * is assumed not to return it. An answer of the store takes some ms. */
+constexpr Duration kMaxLag = std::chrono::milliseconds{ 300 };
 
-/** An outage of the store that others told of lasts until nobody has spoken of
- * it for this long: three words between zones. */
-constexpr Duration kOutageLasts = std::chrono::milliseconds{ 1'200 };
+/** A reported outage of the store is over when no relay has reported it for
+ * this long: three intervals of the status messages between zones. */
+constexpr Duration kOutageTimeout = std::chrono::milliseconds{ 1'200 };
 
-/** Pause between two checks whether something newer must be read beside the
- * look that is under way. */
-constexpr Duration kCatchUpPause = std::chrono::milliseconds{ 100 };
+/** Interval between checks whether a catch-up read is due. */
+constexpr Duration kCatchUpInterval = std::chrono::milliseconds{ 100 };
 
-/** Longest time for a read beside a look that hangs. It must end, in an answer
- * or an error, before the age at which a configuration is not used any more
- * without an error of the store: StorePollSchedule asks that much sooner. */
-constexpr Duration kCatchUpRead = StorePollSchedule::kProofRead;
+/** Timeout of a catch-up read. While the store reports no error, a relay stops
+ * using its configuration when the proof of freshness reaches a certain age.
+ * The read must end before that, so StorePollSchedule starts it this much
+ * earlier.
+ */
+constexpr Duration kCatchUpReadTimeout = StorePollSchedule::kProofRead;
 
 } // namespace fleet_control
 
-/** How long a newer list may be known elsewhere before it is read here. Those
- * who look pause after each change, so one zone may have it that much before
- * those who look in the next one do, and tell. */
+// Store readers pause after each change. So one zone may have a new list this
+// much earlier than the store readers of another zone get it and send it on.
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::catchUpDelay() const
+FleetControl<Store>::listCatchUpDelay() const
 {
-  return fleet_control::kBehind + this->gatherPause();
+  return fleet_control::kMaxLag + this->batchDelay();
 }
 
-/** Reads the configuration when another relay has had a newer one for a while,
- * or when no relay's proof is recent: the look that is under way may wait on a
- * connection that has fallen silent. */
+// In both cases the poll in progress may be waiting on a dead connection.
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::catchUpConfig()
 {
   const TimePoint now = this->clock.now();
   const auto config = this->shared.config.read();
-  const std::uint64_t heard = this->shared.peerConfigVersion;
-  if (config == nullptr || heard <= config->version) {
-    this->configBehind.reset();
-  } else if (!this->configBehind) {
-    this->configBehind = now;
+  const std::uint64_t peerVersion = this->shared.peerConfigVersion;
+  if (config == nullptr || peerVersion <= config->version) {
+    this->configBehindSince.reset();
+  } else if (!this->configBehindSince) {
+    this->configBehindSince = now;
   }
-  const bool behind =
-    this->configBehind && now - *this->configBehind >= fleet_control::kBehind;
+  const bool behind = this->configBehindSince &&
+                      now - *this->configBehindSince >= fleet_control::kMaxLag;
   const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
-  const bool away = now - outage < fleet_control::kOutageLasts;
+  const bool storeUnavailable = now - outage < fleet_control::kOutageTimeout;
   if (!this->shared.polls) {
-    // What those that look learn of the store holds for this relay too: nobody
-    // else need ask a store that is away.
-    this->configReachable = !away;
-    this->shared.configPollFailed = away;
+    // The store readers' view of the store holds for this relay too, so that it
+    // doesn't query an unavailable store as well.
+    this->configReachable = !storeUnavailable;
+    this->shared.configPollFailed = storeUnavailable;
   }
-  // A thread whose look has failed asks again by itself.
+  // After a failed poll the following thread retries by itself.
   const bool proofOld =
     config != nullptr && this->configReachable &&
     StorePollSchedule::wantsProof(this->shared.freshness.age(),
-                                  now - this->proofAsked,
+                                  now - this->proofReadAt,
                                   this->settings.configDeadline);
-  if (!this->leaving && (behind || proofOld)) {
-    this->configBehind.reset();
-    this->proofAsked = now;
-    this->onConfigAnswer(this->store.readConfig(fleet_control::kCatchUpRead));
+  if (!this->stopping && (behind || proofOld)) {
+    this->configBehindSince.reset();
+    this->proofReadAt = now;
+    this->onConfigPoll(
+      this->store.readConfig(fleet_control::kCatchUpReadTimeout));
   }
-  return fleet_control::kCatchUpPause;
+  return fleet_control::kCatchUpInterval;
 }
 
-/** Reads the list when another relay has had a newer one for a while. */
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::catchUpReplicas()
 {
   const TimePoint now = this->clock.now();
-  const std::uint64_t heard = this->shared.peerListVersion;
-  if (heard <= this->shared.replicas.read()->changed ||
-      heard <= this->listCaughtUp) {
-    this->listBehind.reset();
-  } else if (!this->listBehind) {
-    this->listBehind = now;
-  } else if (now - *this->listBehind >= this->catchUpDelay()) {
-    this->listBehind.reset();
+  const std::uint64_t peerVersion = this->shared.peerListVersion;
+  if (peerVersion <= this->shared.replicas.read()->changed ||
+      peerVersion <= this->listReadForVersion) {
+    this->listBehindSince.reset();
+  } else if (!this->listBehindSince) {
+    this->listBehindSince = now;
+  } else if (now - *this->listBehindSince >= this->listCatchUpDelay()) {
+    this->listBehindSince.reset();
     const Result<ReplicaPoll> poll =
-      this->store.readReplicas(fleet_control::kCatchUpRead);
+      this->store.readReplicas(fleet_control::kCatchUpReadTimeout);
     const std::scoped_lock lock{ this->listGuard };
     if (poll) {
-      this->listCaughtUp = heard;
-      this->onReplicas(poll.value(), this->clock.now());
+      this->listReadForVersion = peerVersion;
+      this->applyReplicaPoll(poll.value(), this->clock.now());
     }
   }
-  return fleet_control::kCatchUpPause;
+  return fleet_control::kCatchUpInterval;
 }
 
 } // namespace poplartrack
--- a/include/poplartrack/relay/FleetControl.h
+++ b/include/poplartrack/relay/FleetControl.h
@@ -22,8 +22,10 @@
 
 namespace poplartrack {
 
-/** A store that keeps the operator's configuration and the replicas' list
- * beside the project's own rows. */
+/** A store that holds the operator's configuration and the replica list besides
+ * the project's own rows. The read functions fetch everything; the await
+ * functions long-poll for changes after a given version, up to a maximum wait.
+ */
 template<typename T>
 concept FleetStoreLike = PlatformLike<T> &&
   requires(T& aStore, std::uint64_t aAfter, Duration aWait)
@@ -43,12 +45,14 @@
 };
 
 /**
- * The threads that keep a relay up to date and do its share of the common
- * duties: one follows the operator's configuration, one the replicas' list; for
- * each of these another one that reads it beside a look that hangs; one
- * contends for the placement lease and keeps the list of relays, one places
- * layers while the lease is held. Each but the last may wait for the store for
- * more than a second; the others go on meanwhile.
+ * Runs the background threads of a relay:
+ * - two threads follow the operator's configuration and the replica list;
+ * - two catch-up threads read these again while a long poll may be hanging;
+ * - the housekeeping thread contends for the placement lease, maintains the
+ *   relay directory and the quarantine rows, and drops expired replicas;
+ * - the placement thread places layers while the lease is held.
+ * Each but the last may block on the store for more than a second, so each task
+ * has a thread of its own.
  */
 template<FleetStoreLike Store>
 class FleetControl
@@ -57,80 +61,122 @@
   FleetControl(const RelaySettings& aSettings,
                RelayShared& aShared,
                Store& aStore,
-               PlaceOrder aPlace);
+               SendLayerOrder aSendOrder);
 
-  /** Gives the lease up, so that another relay takes over at once. */
+  /** Stops placing layers, contending for the lease and other housekeeping, and
+   * releases the lease so that another relay takes over at once. Part of the
+   * shutdown; blocks for a call to the store. */
   void releaseLease();
 
 private:
+  // Work of the threads; each returns the pause until its next round.
+
+  /** Polls the configuration, or leaves that to the store readers. */
   Duration followConfig();
+  /** Polls the replica list, or applies the updates of the store readers. */
   Duration followReplicas();
-  Duration applyPeerDeltas();
-  Duration runLease();
-  Duration place();
-  void onConfig(const ConfigPoll& aPoll);
-  void onConfigAnswer(const Result<ConfigPoll>& aPoll);
-  void onStoreFailure(const char* aWhat, const Error& aError);
-  void onStoreAnswer(const char* aWhat);
+  /** Applies the replica list updates that store readers have sent. */
+  Duration applyPeerUpdates();
+  /** Drops expired replicas, contends for the lease, and refreshes the relay
+   * directory and the quarantine rows. */
+  Duration runHousekeeping();
+  /** Places layers while the lease is held. */
+  Duration runPlacement();
+  /** Puts a newer configuration in force and records the proof of freshness. */
+  void applyConfig(const ConfigPoll& aPoll);
+  /** Handles the outcome of a configuration poll, including its failure. */
+  void onConfigPoll(const Result<ConfigPoll>& aPoll);
+  /** Logs that polls of aWhat have begun to fail. */
+  void onStoreUnavailable(const char* aWhat, const Error& aError);
+  /** Logs that polls of aWhat succeed again. */
+  void onStoreAvailable(const char* aWhat);
+  /** Publishes the current replica list to the other threads. */
   void publishReplicas();
-  void onReplicas(const ReplicaPoll& aPoll, TimePoint aNow);
+  /** Applies the changes of a replica list poll. The caller holds listGuard. */
+  void applyReplicaPoll(const ReplicaPoll& aPoll, TimePoint aNow);
+  /** Reads the configuration if this relay is behind its peers, or if its proof
+   * of freshness is old. */
   Duration catchUpConfig();
+  /** Reads the replica list if this relay is behind its peers. */
   Duration catchUpReplicas();
+  /** Logs entries of the replica list that name no usable replica. */
   void logUnreadable(const std::vector<UnreadableEntry>& aEntries);
-  void dropLapsed();
+  /** Drops replicas that stayed missing after an outage of the store. */
+  void removeExpiredReplicas();
+  /** Contends for the placement lease, or renews it, if a call is due. */
   void pollLease();
-  [[nodiscard]] StorePollSchedule pace() const;
-  [[nodiscard]] Duration gatherPause() const;
-  [[nodiscard]] Duration catchUpDelay() const;
+  /** Returns the poll schedule for the current number of store readers. */
+  [[nodiscard]] StorePollSchedule pollSchedule() const;
+  /** Returns the pause after a poll that brought changes, in which further
+   * changes gather for the next poll. */
+  [[nodiscard]] Duration batchDelay() const;
+  /** Returns how long peers may have a newer list before it is read here. */
+  [[nodiscard]] Duration listCatchUpDelay() const;
 
   RelaySettings settings;
   RelayShared& shared;
   Store& store;
   SuspendAwareClock clock;
+  /** The placement lease of the region. */
   Lease<Store, SuspendAwareClock> lease;
 
-  std::uint64_t configAfter = 0;
-  bool configStarted = false;
-  /** The latest outage of the store that others told of. */
-  TimePoint outageSeen{};
-  bool outageOpen = false;
-  /** When the latest look at the list ended. */
-  TimePoint polledAt{};
-  bool replicasStarted = false;
-  /** Two threads may bring answers of the store. */
+  /** Where the next poll of the configuration continues. */
+  std::uint64_t configCursor = 0;
+  /** The next poll waits for changes; otherwise it reads everything. */
+  bool awaitsConfigChanges = false;
+  /** When other relays last reported an outage of the store. */
+  TimePoint peerOutageAt{};
+  /** The outage that others reported is not over yet. */
+  bool inPeerOutage = false;
+  /** When the latest poll of the replica list ended. */
+  TimePoint listPolledAt{};
+  /** The next poll waits for changes; otherwise it reads the whole list. */
+  bool awaitsReplicaChanges = false;
+  /** The following and the catch-up thread may both put a configuration in
+   * force. */
   std::mutex configGuard;
+  /** Guards replicaList and loggedUnreadable. */
   std::mutex listGuard;
-  ReplicaList list;
-  std::atomic<bool> uncertain{ false };
-  /** Entries that name no replica to use, and why, as they were logged. */
-  std::map<std::string, std::string> unreadable;
-  /** Since when another relay has had something newer. */
-  std::optional<TimePoint> configBehind;
-  std::optional<TimePoint> listBehind;
-  std::uint64_t listCaughtUp = 0;
+  ReplicaList replicaList;
+  /** Replicas are missing from the list that may come back. */
+  std::atomic<bool> entriesUncertain{ false };
+  /** Unusable entries by name, with the reason that was logged last. */
+  std::map<std::string, std::string> loggedUnreadable;
+  /** Since when another relay has had a newer configuration. */
+  std::optional<TimePoint> configBehindSince;
+  /** Since when another relay has had a newer replica list. */
+  std::optional<TimePoint> listBehindSince;
+  /** Newest peer version for which a catch-up read of the list was made. */
+  std::uint64_t listReadForVersion = 0;
+  /** When pollLease() last polled the lease. */
   TimePoint leasePolledAt{};
-  /** When the configuration was read last beside the look that is under way. */
-  TimePoint proofAsked{};
+  /** When the configuration was last read by the catch-up thread. */
+  TimePoint proofReadAt{};
+  /** The latest poll of the configuration reached the store. On a relay that
+   * does not poll: no outage is reported. */
   std::atomic<bool> configReachable{ true };
-  /** Looks in a row that failed. */
+  /** Consecutive polls that failed, of the configuration and of the list. */
   int configFailures = 0;
   int replicasFailures = 0;
+  /** The latest poll of the replica list reached the store. */
   std::atomic<bool> replicasReachable{ true };
 
   PlacementController placement;
   RelayDirectory<Store> directory;
   QuarantineRows<Store> quarantine;
-  /** The lease under which layers are placed; 0: none. */
-  std::atomic<std::uint64_t> leading{ 0 };
-  std::atomic<bool> leaving{ false };
+  /** Fencing number of the lease under which this relay places layers; 0: it
+   * does not hold the lease. */
+  std::atomic<std::uint64_t> placementFence{ 0 };
+  /** releaseLease() was called. */
+  std::atomic<bool> stopping{ false };
 
-  // Last: they use all the above.
+  // Declared last: the threads use all members above.
   PeriodicThread configThread;
   PeriodicThread replicasThread;
   PeriodicThread configCatchUpThread;
   PeriodicThread replicasCatchUpThread;
-  PeriodicThread leaseThread;
-  PeriodicThread placeThread;
+  PeriodicThread housekeepingThread;
+  PeriodicThread placementThread;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -9,34 +9,36 @@
 namespace poplartrack {
 namespace fleet_control {
 
-/** A leader that was heard this lately renews its lease: nobody else looks at
- * the row, but for now and then. */
-constexpr Duration kLeaderSilence = std::chrono::milliseconds{ 1'000 };
-constexpr Duration kLeasePollInterval = std::chrono::seconds{ 20 };
+/** While a status message of the lease holder is at most this old, the holder
+ * is assumed to renew its lease, and the other relays hardly poll the row. */
+constexpr Duration kLeaderTimeout = std::chrono::milliseconds{ 1'000 };
+/** Interval between polls of the lease by other relays in that case. */
+constexpr Duration kLeasePollIntervalWithLeader = std::chrono::seconds{ 20 };
 
-/** Longest time for a whole read where nothing is known yet. Slow stores were
- * declared to take 300 ms. */
-constexpr Duration kFirstRead = std::chrono::milliseconds{ 1'500 };
+/** Timeout of a read of everything, when nothing is known yet. A slow store
+ * answers within 300 ms. */
+constexpr Duration kInitialReadTimeout = std::chrono::milliseconds{ 1'500 };
 
-/** Pause of a relay that does not look at the store between two looks at what
- * others told it. */
-constexpr Duration kHearPause = std::chrono::milliseconds{ 100 };
+/** Interval at which a relay that does not poll the store applies the updates
+ * that it has received. */
+constexpr Duration kPeerUpdateInterval = std::chrono::milliseconds{ 100 };
 
-/** A relay whose look failed is not asked to look for this long: the store may
- * turn it alone away. After that it may be asked again, or a zone would run out
- * of relays to ask. */
-constexpr Duration kFailureCounts = std::chrono::seconds{ 5 };
+/** A relay whose poll failed reports the failure for this long, and is not
+ * chosen as a store reader meanwhile: the store may reject this relay alone.
+ * Then it may be chosen again, or a zone would run out of candidates. */
+constexpr Duration kPollFailureCooldown = std::chrono::seconds{ 5 };
 
-/** Pause between two rounds of duties. */
-constexpr Duration kLeaseThreadPause = std::chrono::milliseconds{ 250 };
+/** Pause between two rounds of housekeeping. */
+constexpr Duration kHousekeepingInterval = std::chrono::milliseconds{ 250 };
 
-/** Pause between two looks at what is held: a lost part is noticed by the
- * streams through it after some 300 ms, and should not wait for long then. */
-constexpr Duration kPlacePause = std::chrono::milliseconds{ 100 };
+/** Pause between two placement rounds. Streams notice the loss of a replica
+ * after about 300 ms; its layers should not wait much longer for a new holder.
+ */
+constexpr Duration kPlacementInterval = std::chrono::milliseconds{ 100 };
 
-/** A number in [0, 1). */
+/** Returns a random value in [0, 1). */
 inline double
-draw()
+randomUnitValue()
 {
   constexpr std::uint64_t kSteps = 1U << 20U;
   return static_cast<double>(randomRequestId().low % kSteps) / kSteps;
@@ -48,9 +50,10 @@
   LeaseSettings lease;
   lease.name = "placement/" + aSettings.region;
   lease.holder = aSettings.name + "/" + toText(randomRequestId());
-  // Placement must not pause for long when its holder dies: a lost layer is
-  // refused work until it is held again. It is taken over after 3 to 4 s. The
-  // others look only while the holder is not heard.
+  // Placement must not pause for long when the lease holder dies: requests that
+  // need a lost layer are refused until a replica holds it again. Another relay
+  // takes the lease over after 3 to 4 s. The others poll it often only while no
+  // status message of a holder arrives.
   lease.duration = std::chrono::milliseconds{ 2'000 };
   lease.renewEvery = std::chrono::milliseconds{ 700 };
   lease.pollInterval = std::chrono::milliseconds{ 700 };
@@ -64,20 +67,20 @@
 FleetControl<Store>::FleetControl(const RelaySettings& aSettings,
                                   RelayShared& aShared,
                                   Store& aStore,
-                                  PlaceOrder aPlace)
+                                  SendLayerOrder aSendOrder)
   : settings(aSettings)
   , shared(aShared)
   , store(aStore)
   , lease(aStore, this->clock, fleet_control::leaseSettings(aSettings))
-  , placement(aShared, std::move(aPlace))
+  , placement(aShared, std::move(aSendOrder))
   , directory(this->settings, aShared, aStore)
   , quarantine(aShared, aStore)
   , configThread([this] { return this->followConfig(); })
   , replicasThread([this] { return this->followReplicas(); })
   , configCatchUpThread([this] { return this->catchUpConfig(); })
   , replicasCatchUpThread([this] { return this->catchUpReplicas(); })
-  , leaseThread([this] { return this->runLease(); })
-  , placeThread([this] { return this->place(); })
+  , housekeepingThread([this] { return this->runHousekeeping(); })
+  , placementThread([this] { return this->runPlacement(); })
 {
 }
 
@@ -85,17 +88,18 @@
 void
 FleetControl<Store>::releaseLease()
 {
-  this->leaving = true;
-  // Told for the whole grace time, "leads" kept every other relay from looking
-  // at a lease that had been given back: nobody placed anything for 9 s.
+  this->stopping = true;
+  // Stops reporting that this relay holds the lease. Reported for the whole
+  // grace time, it would keep the other relays from polling the released lease:
+  // no layers would be placed for up to 9 s.
   this->shared.holdsLease = false;
-  this->shared.releasedFence = this->leading.exchange(0);
+  this->shared.releasedFence = this->placementFence.exchange(0);
   this->lease.release();
 }
 
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::onStoreFailure(const char* aWhat, const Error& aError)
+FleetControl<Store>::onStoreUnavailable(const char* aWhat, const Error& aError)
 {
   this->shared.metrics.countRetry(RetryReason::PlatformUnavailable);
   this->shared.log.write(LogLine{ LogPart::Store, "lost" }
@@ -105,7 +109,7 @@
 
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::onStoreAnswer(const char* aWhat)
+FleetControl<Store>::onStoreAvailable(const char* aWhat)
 {
   this->shared.log.write(
     LogLine{ LogPart::Store, "regained" }.with("what", aWhat));
@@ -113,17 +117,17 @@
 
 template<FleetStoreLike Store>
 StorePollSchedule
-FleetControl<Store>::pace() const
+FleetControl<Store>::pollSchedule() const
 {
   return StorePollSchedule{ this->shared.storeReaders };
 }
 
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::gatherPause() const
+FleetControl<Store>::batchDelay() const
 {
   return StorePollSchedule::gatherPause(this->shared.receivedRequest ||
-                                        this->leading != 0);
+                                        this->placementFence != 0);
 }
 
 template<FleetStoreLike Store>
@@ -132,57 +136,58 @@
 {
   const bool known = this->shared.config.read() != nullptr;
   if (known && !this->shared.polls) {
-    return fleet_control::kHearPause;
+    return fleet_control::kPeerUpdateInterval;
   }
   const Result<ConfigPoll> poll =
-    this->configStarted
-      ? this->store.awaitConfig(this->configAfter,
-                                this->pace().configWait(fleet_control::draw()))
-      : this->store.readConfig(fleet_control::kFirstRead);
-  this->onConfigAnswer(poll);
+    this->awaitsConfigChanges
+      ? this->store.awaitConfig(
+          this->configCursor,
+          this->pollSchedule().configWait(fleet_control::randomUnitValue()))
+      : this->store.readConfig(fleet_control::kInitialReadTimeout);
+  this->onConfigPoll(poll);
   if (!poll) {
-    // History that is gone is no outage: the whole is read at once.
-    const bool read = std::exchange(this->configStarted, false);
-    if (poll.error().kind == ErrorKind::NotFound && read) {
+    // NotFound: the store no longer has the history after configCursor. That is
+    // no outage; everything is read at once.
+    const bool wasAwaiting = std::exchange(this->awaitsConfigChanges, false);
+    if (poll.error().kind == ErrorKind::NotFound && wasAwaiting) {
       return Duration{ 0 };
     }
-    return this->pace().retryPause(this->configFailures++,
-                                   fleet_control::draw());
+    return this->pollSchedule().retryPause(this->configFailures++,
+                                           fleet_control::randomUnitValue());
   }
   this->configFailures = 0;
-  this->configAfter = poll.value().next;
-  // Also where there is no configuration yet: it is a change like others. Read
-  // again and again until the operator wrote the first one, it took 85 calls a
-  // relay, half of all in the first 30 s.
-  this->configStarted = true;
-  return poll.value().config ? this->gatherPause() : Duration{ 0 };
+  this->configCursor = poll.value().next;
+  // Set also while there is no configuration yet, as the first one arrives as a
+  // change like others. Reading repeatedly until then takes 85 calls a relay,
+  // half of all its calls in the first 30 s.
+  this->awaitsConfigChanges = true;
+  return poll.value().config ? this->batchDelay() : Duration{ 0 };
 }
 
-/** Takes over what a look at the configuration brought, or that it failed. */
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::onConfigAnswer(const Result<ConfigPoll>& aPoll)
+FleetControl<Store>::onConfigPoll(const Result<ConfigPoll>& aPoll)
 {
-  const bool gone = !aPoll && aPoll.error().kind == ErrorKind::NotFound;
-  if (gone) {
+  const bool historyGone = !aPoll && aPoll.error().kind == ErrorKind::NotFound;
+  if (historyGone) {
     return;
   }
   this->shared.configPollFailed = !aPoll;
   if (!aPoll) {
     if (this->configReachable.exchange(false)) {
-      this->onStoreFailure("config", aPoll.error());
+      this->onStoreUnavailable("config", aPoll.error());
     }
     return;
   }
   if (!this->configReachable.exchange(true)) {
-    this->onStoreAnswer("config");
+    this->onStoreAvailable("config");
   }
-  this->onConfig(aPoll.value());
+  this->applyConfig(aPoll.value());
 }
 
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::onConfig(const ConfigPoll& aPoll)
+FleetControl<Store>::applyConfig(const ConfigPoll& aPoll)
 {
   for (const std::string& problem : aPoll.unreadable) {
     this->shared.log.write(
@@ -190,8 +195,8 @@
   }
   const std::scoped_lock lock{ this->configGuard };
   const auto current = this->shared.config.read();
-  // An older version than the one in force is never taken: it would bring
-  // back a key or a route that had been taken away.
+  // An older version than the one in force is never applied: it would restore a
+  // key or a route that has been removed.
   if (aPoll.config &&
       (current == nullptr || aPoll.config->version > current->version)) {
     this->shared.config.replace(aPoll.config);
@@ -212,7 +217,7 @@
 void
 FleetControl<Store>::publishReplicas()
 {
-  auto view = std::make_shared<const ReplicaView>(this->list.view());
+  auto view = std::make_shared<const ReplicaView>(this->replicaList.view());
   this->shared.metrics.set("replicas_listed",
                            static_cast<std::int64_t>(view->replicas.size()));
   this->shared.replicas.replace(std::move(view));
@@ -225,91 +230,93 @@
   std::uint64_t after = 0;
   {
     const std::scoped_lock lock{ this->listGuard };
-    after = this->list.known();
+    after = this->replicaList.known();
   }
   if (after > 0 && !this->shared.polls) {
-    return this->applyPeerDeltas();
+    return this->applyPeerUpdates();
   }
   const Result<ReplicaPoll> poll =
-    this->replicasStarted
+    this->awaitsReplicaChanges
       ? this->store.awaitReplicas(
           after,
-          this->pace().replicasWait(this->uncertain, fleet_control::draw()))
-      : this->store.readReplicas(fleet_control::kFirstRead);
+          this->pollSchedule().replicasWait(this->entriesUncertain,
+                                            fleet_control::randomUnitValue()))
+      : this->store.readReplicas(fleet_control::kInitialReadTimeout);
   const TimePoint now = this->clock.now();
   const std::scoped_lock lock{ this->listGuard };
   this->shared.pollsFail = !poll && poll.error().kind != ErrorKind::NotFound;
-  this->polledAt = now;
+  this->listPolledAt = now;
   if (!poll) {
-    const bool read = std::exchange(this->replicasStarted, false);
-    if (poll.error().kind == ErrorKind::NotFound && read) {
+    const bool wasAwaiting = std::exchange(this->awaitsReplicaChanges, false);
+    if (poll.error().kind == ErrorKind::NotFound && wasAwaiting) {
       return Duration{ 0 };
     }
-    this->list.onUnreachable(now);
+    this->replicaList.onUnreachable(now);
     if (this->replicasReachable.exchange(false)) {
-      this->onStoreFailure("replicas", poll.error());
+      this->onStoreUnavailable("replicas", poll.error());
     }
-    return this->pace().retryPause(this->replicasFailures++,
-                                   fleet_control::draw());
+    return this->pollSchedule().retryPause(this->replicasFailures++,
+                                           fleet_control::randomUnitValue());
   }
   this->replicasFailures = 0;
   if (!this->replicasReachable.exchange(true)) {
-    this->onStoreAnswer("replicas");
+    this->onStoreAvailable("replicas");
   }
-  this->replicasStarted = true;
+  this->awaitsReplicaChanges = true;
   this->shared.listInbox.take();
-  this->onReplicas(poll.value(), now);
-  const bool quiet =
+  this->applyReplicaPoll(poll.value(), now);
+  const bool unchanged =
     poll.value().present.empty() && poll.value().removed.empty();
-  if (!quiet && !poll.value().whole && this->shared.sendListDelta) {
+  if (!unchanged && !poll.value().whole && this->shared.sendListDelta) {
     this->shared.sendListDelta(ReplicaListDelta{ after, poll.value() });
   }
-  return quiet ? Duration{ 0 } : this->gatherPause();
+  return unchanged ? Duration{ 0 } : this->batchDelay();
 }
 
-/** Takes over what relays that look at the store tell of the list. News that do
- * not join what is known are left: the list is read when their version is heard
- * of for a while. */
+// Updates with a gap to the known version are ignored: catchUpReplicas() reads
+// the list when peers have reported their version for a while.
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::applyPeerDeltas()
+FleetControl<Store>::applyPeerUpdates()
 {
   const TimePoint now = this->clock.now();
   const std::scoped_lock lock{ this->listGuard };
-  if (now - this->polledAt >= fleet_control::kFailureCounts) {
+  if (now - this->listPolledAt >= fleet_control::kPollFailureCooldown) {
     this->shared.pollsFail = false;
   }
   const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
-  if (outage > this->outageSeen) {
-    // Entries lapse while the store is away: what vanishes now may come back.
-    this->outageSeen = outage;
-    this->outageOpen = true;
-    this->list.onUnreachable(outage);
-  } else if (this->outageOpen && now - outage >= fleet_control::kOutageLasts) {
-    // It is over: what vanishes from now on leaves, and takes no more work.
-    this->outageOpen = false;
-    ReplicaPoll nothing;
-    nothing.next = this->list.known();
-    this->list.onPoll(nothing, now);
+  if (outage > this->peerOutageAt) {
+    // Entries expire in the store during an outage, although their replicas
+    // run: those that vanish now may come back.
+    this->peerOutageAt = outage;
+    this->inPeerOutage = true;
+    this->replicaList.onUnreachable(outage);
+  } else if (this->inPeerOutage &&
+             now - outage >= fleet_control::kOutageTimeout) {
+    // The outage is over. Entries that vanish from now on belong to replicas
+    // that drain and take no more work.
+    this->inPeerOutage = false;
+    ReplicaPoll emptyPoll;
+    emptyPoll.next = this->replicaList.known();
+    this->replicaList.onPoll(emptyPoll, now);
   }
   for (const ReplicaListDelta& delta : this->shared.listInbox.take()) {
-    const bool joins = delta.after <= this->list.known();
-    if (joins && delta.poll.next > this->list.known()) {
-      this->onReplicas(delta.poll, now);
+    const bool contiguous = delta.after <= this->replicaList.known();
+    if (contiguous && delta.poll.next > this->replicaList.known()) {
+      this->applyReplicaPoll(delta.poll, now);
     }
   }
-  return fleet_control::kHearPause;
+  return fleet_control::kPeerUpdateInterval;
 }
 
-/** Takes an answer about the replicas over; the list's guard is held. */
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::onReplicas(const ReplicaPoll& aPoll, TimePoint aNow)
+FleetControl<Store>::applyReplicaPoll(const ReplicaPoll& aPoll, TimePoint aNow)
 {
   this->logUnreadable(aPoll.unreadable);
-  this->list.onPoll(aPoll, aNow);
-  const bool expired = this->list.expire(aNow);
-  this->uncertain = this->list.uncertain();
+  this->replicaList.onPoll(aPoll, aNow);
+  const bool expired = this->replicaList.expire(aNow);
+  this->entriesUncertain = this->replicaList.uncertain();
   const bool changed = !aPoll.present.empty() || !aPoll.removed.empty() ||
                        !aPoll.unreadable.empty() || aPoll.whole;
   if (changed) {
@@ -318,25 +325,25 @@
         .with("version", static_cast<std::int64_t>(aPoll.next))
         .with("changed", static_cast<std::int64_t>(aPoll.present.size()))
         .with("gone", static_cast<std::int64_t>(aPoll.removed.size()))
-        .with("all", static_cast<std::int64_t>(this->list.size())));
+        .with("all", static_cast<std::int64_t>(this->replicaList.size())));
   }
   if (changed || expired) {
     this->publishReplicas();
   }
 }
 
-/** Says once of each entry that it names no replica to use, and why. A whole
- * read brings all of them again. */
+// Logs each entry once for each reason, since a whole read returns all unusable
+// entries again.
 template<FleetStoreLike Store>
 void
 FleetControl<Store>::logUnreadable(const std::vector<UnreadableEntry>& aEntries)
 {
   for (const UnreadableEntry& entry : aEntries) {
-    std::string& known = this->unreadable[entry.name];
-    if (known == entry.reason) {
+    std::string& loggedReason = this->loggedUnreadable[entry.name];
+    if (loggedReason == entry.reason) {
       continue;
     }
-    known = entry.reason;
+    loggedReason = entry.reason;
     this->shared.metrics.count("replica_entries_unreadable_total");
     this->shared.log.write(LogLine{ LogPart::Replicas, "unreadable" }
                              .with("entry", entry.name)
@@ -344,23 +351,25 @@
   }
 }
 
-/** Contends for the lease, or renews it. While its holder is heard there is
- * nothing to contend for; one that says that it gave up is not waited for. */
+// While another relay holds the lease there is nothing to contend for. A lease
+// that its holder reports as released is taken without waiting for its end.
 template<FleetStoreLike Store>
 void
 FleetControl<Store>::pollLease()
 {
   const TimePoint now = this->clock.now();
-  const TimePoint heard{ Duration{ this->shared.leaderSeenAt.load() } };
-  const bool led = now - heard < fleet_control::kLeaderSilence;
-  // The two other threads look again soon; asked by each relay too, the lease
-  // was 200 calls for nothing in 8 s without the store, 24 relays.
-  const bool away = !this->configReachable && !this->replicasReachable;
-  if ((away || !this->shared.polls) && this->leading == 0) {
+  const TimePoint leaderSeenAt{ Duration{ this->shared.leaderSeenAt.load() } };
+  const bool leaderKnown = now - leaderSeenAt < fleet_control::kLeaderTimeout;
+  // While the store is unavailable only the two following threads retry. Polls
+  // of the lease by each relay as well would be 200 useless calls in 8 s with
+  // 24 relays.
+  const bool storeUnavailable =
+    !this->configReachable && !this->replicasReachable;
+  if ((storeUnavailable || !this->shared.polls) && this->placementFence == 0) {
     return;
   }
-  if (led && this->leading == 0 &&
-      now - this->leasePolledAt < fleet_control::kLeasePollInterval) {
+  if (leaderKnown && this->placementFence == 0 &&
+      now - this->leasePolledAt < fleet_control::kLeasePollIntervalWithLeader) {
     return;
   }
   this->lease.onFreed(this->shared.peerReleasedFence);
@@ -368,65 +377,64 @@
   this->lease.poll();
 }
 
-/** Drops entries that stayed away after an outage. The look that is under way
- * may wait for ten seconds more before it decides on those that another thread
- * found missing. */
+// The poll in progress may wait ten seconds more before it decides on entries
+// that another thread found missing, so the housekeeping thread does it in
+// time.
 template<FleetStoreLike Store>
 void
-FleetControl<Store>::dropLapsed()
+FleetControl<Store>::removeExpiredReplicas()
 {
   const std::scoped_lock lock{ this->listGuard };
-  if (this->uncertain && this->list.expire(this->clock.now())) {
-    this->uncertain = this->list.uncertain();
+  if (this->entriesUncertain && this->replicaList.expire(this->clock.now())) {
+    this->entriesUncertain = this->replicaList.uncertain();
     this->publishReplicas();
   }
 }
 
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::runLease()
+FleetControl<Store>::runHousekeeping()
 {
-  if (!this->leaving) {
-    this->dropLapsed();
+  if (!this->stopping) {
+    this->removeExpiredReplicas();
     this->pollLease();
     this->directory.refresh(this->clock.now());
     this->quarantine.refresh(this->clock.now());
   }
-  return fleet_control::kLeaseThreadPause;
+  return fleet_control::kHousekeepingInterval;
 }
 
-/** Places layers while the lease is held; tells the others when it no longer
- * is. A store that turns only this relay away would else keep all of them from
- * placing until the row's time is up for them too: 3 s in which what is lost
- * stays lost. */
+// When the lease is no longer held here, reports that to the other relays. If
+// the store rejects only this relay, they would otherwise wait until the lease
+// ends for them too: lost layers would not be replaced for 3 s.
 template<FleetStoreLike Store>
 Duration
-FleetControl<Store>::place()
+FleetControl<Store>::runPlacement()
 {
-  if (this->leaving) {
+  if (this->stopping) {
     this->shared.holdsLease = false;
-    return fleet_control::kPlacePause;
+    return fleet_control::kPlacementInterval;
   }
   const std::optional<HeldLease> held = this->lease.held();
   if (held) {
-    if (this->leading.exchange(held->fence) != held->fence) {
+    if (this->placementFence.exchange(held->fence) != held->fence) {
       this->shared.metrics.set("placement_lease_held", 1);
       this->shared.log.write(LogLine{ LogPart::Lease, "taken" }.with(
         "fence", static_cast<std::int64_t>(held->fence)));
     }
     this->shared.holdsLease = true;
-    this->placement.run(held->fence, this->clock.now());
-    return fleet_control::kPlacePause;
+    this->placement.runRound(held->fence, this->clock.now());
+    return fleet_control::kPlacementInterval;
   }
   this->shared.holdsLease = false;
-  const std::uint64_t lost = this->leading.exchange(0);
+  const std::uint64_t lost = this->placementFence.exchange(0);
   if (lost != 0) {
     this->shared.releasedFence = this->lease.giveUp().value_or(lost);
     this->shared.metrics.set("placement_lease_held", 0);
     this->shared.log.write(LogLine{ LogPart::Lease, "lost" }.with(
       "fence", static_cast<std::int64_t>(lost)));
   }
-  return fleet_control::kPlacePause;
+  return fleet_control::kPlacementInterval;
 }
 
 } // namespace poplartrack
--- a/include/poplartrack/relay/PlacementController.h
+++ b/include/poplartrack/relay/PlacementController.h
@@ -13,45 +13,57 @@
 
 namespace poplartrack {
 
-/** Gives one order to a replica; returns at once. */
-using PlaceOrder = std::function<void(const Replica&,
-                                      LayerRange,
-                                      std::uint64_t aFence,
-                                      std::function<void(Result<Done>)>)>;
-
-/** What the holder of the placement lease does: looks which layers are held and
- * gives the orders that are due. One thread calls run(); answers to orders may
- * come on others. */
+/** Orders a replica to hold a layer range, under a fencing number. Returns at
+ * once; the callback receives the outcome, possibly on another thread. */
+using SendLayerOrder = std::function<void(const Replica&,
+                                          LayerRange,
+                                          std::uint64_t aFence,
+                                          std::function<void(Result<Done>)>)>;
+
+/** Places the layers of all model services while this relay holds the placement
+ * lease: it plans from the replica list and sends the layer orders that are
+ * due. One thread calls runRound(); answers to orders may arrive on others. */
 class PlacementController
 {
 public:
-  PlacementController(RelayShared& aShared, PlaceOrder aPlace);
+  PlacementController(RelayShared& aShared, SendLayerOrder aSendOrder);
 
-  /** One look, under the lease with this fencing number. */
-  void run(std::uint64_t aFence, TimePoint aNow);
+  /** Plans every model service once and sends the orders that are due, under
+   * the lease with this fencing number. */
+  void runRound(std::uint64_t aFence, TimePoint aNow);
 
 private:
-  void place(const std::string& aService,
-             const EngineProfile& aEngine,
-             const std::vector<std::size_t>& aListed,
-             TimePoint aNow);
-  std::set<std::string> endedAmong(const ReplicaView& aView);
+  /** Plans one service and sends its orders. aIndices: where the replica view
+   * holds the service's replicas. */
+  void planService(const std::string& aService,
+                   const EngineProfile& aEngine,
+                   const std::vector<std::size_t>& aIndices,
+                   TimePoint aNow);
+  /** Returns the listed replicas at whose address another one has answered, and
+   * forgets those that are no longer listed. */
+  std::set<std::string> replacedReplicas(const ReplicaView& aView);
+  /** Logs the layers that each zone lacks, whenever they change. */
   void logGaps(const std::string& aService, const std::vector<CopyGap>& aGaps);
-  void give(const LayerOrder& aOrder, const Replica& aReplica);
+  /** Logs an order and sends it to the replica. */
+  void issueOrder(const LayerOrder& aOrder, const Replica& aReplica);
+  /** Handles the outcome of an order. */
   void onOrderDone(const Replica& aReplica, const Result<Done>& aDone);
 
   RelayShared& shared;
-  PlaceOrder placeOrder;
+  SendLayerOrder sendLayerOrder;
+  /** Guards planners and knownReplaced. */
   std::mutex guard;
   /** One planner for each model service. */
   std::map<std::string, LayerPlanner> planners;
-  /** Replicas that are listed and have ended: another one answered an order
-   * that was meant for them. A dead replica's entry stays for three heartbeats,
-   * and a restarted endpoint has its address meanwhile: a gap of five layers
-   * was ordered from a dead one four times in 6 s, and stayed open. */
-  std::set<std::string> ended;
+  /** Listed replicas that no longer run: another replica answered an order that
+   * was meant for them. The entry of a dead replica stays for three heartbeats,
+   * and a restarted endpoint may have its address by then. Without this record
+   * the planner keeps ordering the layers of a gap from the dead replica (four
+   * times in 6 s for a gap of five layers), and the gap stays open. */
+  std::set<std::string> knownReplaced;
   /** Gaps of each service that were logged last. */
-  std::map<std::string, std::vector<CopyGap>> loggedGaps;
+  std::map<std::string, std::vector<CopyGap>> lastLoggedGaps;
+  /** Fencing number of the latest round. */
   std::uint64_t fence = 0;
 };
 
--- a/src/relay/PlacementController.cpp
+++ b/src/relay/PlacementController.cpp
@@ -6,17 +6,18 @@
 namespace poplartrack {
 
 PlacementController::PlacementController(RelayShared& aShared,
-                                         PlaceOrder aPlace)
+                                         SendLayerOrder aSendOrder)
   : shared(aShared)
-  , placeOrder(std::move(aPlace))
+  , sendLayerOrder(std::move(aSendOrder))
 {
 }
 
 void
-PlacementController::run(std::uint64_t aFence, TimePoint aNow)
+PlacementController::runRound(std::uint64_t aFence, TimePoint aNow)
 {
   if (aFence != this->fence) {
-    // Another relay may have led meanwhile: its orders are not known here.
+    // Another relay may have held the lease in between. Its orders are unknown
+    // here, so the planners must not rely on theirs.
     this->fence = aFence;
     const std::scoped_lock lock{ this->guard };
     for (auto& [service, planner] : this->planners) {
@@ -31,29 +32,31 @@
   for (const auto& [name, service] : config->services) {
     const auto listed = view->byService.find(name);
     if (service.engine && listed != view->byService.end()) {
-      this->place(name, *service.engine, listed->second, aNow);
+      this->planService(name, *service.engine, listed->second, aNow);
     }
   }
 }
 
 void
-PlacementController::place(const std::string& aService,
-                           const EngineProfile& aEngine,
-                           const std::vector<std::size_t>& aListed,
-                           TimePoint aNow)
+PlacementController::planService(const std::string& aService,
+                                 const EngineProfile& aEngine,
+                                 const std::vector<std::size_t>& aIndices,
+                                 TimePoint aNow)
 {
   const auto view = this->shared.replicas.read();
   const auto lost = this->shared.lostReplicas.read();
-  std::vector<Replica> staying;
+  std::vector<Replica> available;
   bool uncertain = false;
-  const std::set<std::string> gone = this->endedAmong(*view);
-  for (const std::size_t place : aListed) {
-    const Replica& replica = view->replicas[place];
+  const std::set<std::string> replaced = this->replacedReplicas(*view);
+  for (const std::size_t index : aIndices) {
+    const Replica& replica = view->replicas[index];
     const auto found = lost->find(replica.id);
     const bool dead = found != lost->end();
+    // Only this relay fails to reach it: the replica may be alive, and the
+    // relay cut off. The planner waits longer then.
     uncertain = uncertain || (dead && !found->second && !replica.draining);
-    if (!replica.draining && !dead && !gone.contains(replica.id)) {
-      staying.push_back(replica);
+    if (!replica.draining && !dead && !replaced.contains(replica.id)) {
+      available.push_back(replica);
     }
   }
   std::vector<LayerOrder> orders;
@@ -62,44 +65,43 @@
     auto& planner =
       this->planners.try_emplace(aService, LayerPlannerPolicy{}).first->second;
     orders = planner.plan(
-      aEngine, staying, uncertain, *this->shared.busyReplicas.read(), aNow);
+      aEngine, available, uncertain, *this->shared.busyReplicas.read(), aNow);
     this->logGaps(aService, planner.gaps());
   }
   for (const LayerOrder& order : orders) {
     const auto replica = std::find_if(
-      staying.begin(), staying.end(), [&](const Replica& aReplica) {
+      available.begin(), available.end(), [&](const Replica& aReplica) {
         return aReplica.id == order.replica;
       });
-    this->give(order, *replica);
+    this->issueOrder(order, *replica);
   }
 }
 
-/** Replicas that are listed, but at whose address another one answered. */
 std::set<std::string>
-PlacementController::endedAmong(const ReplicaView& aView)
+PlacementController::replacedReplicas(const ReplicaView& aView)
 {
   const std::scoped_lock lock{ this->guard };
   std::set<std::string> listed;
   for (const Replica& replica : aView.replicas) {
     listed.insert(replica.id);
   }
-  std::erase_if(this->ended, [&](const std::string& aReplica) {
+  std::erase_if(this->knownReplaced, [&](const std::string& aReplica) {
     return !listed.contains(aReplica);
   });
-  return this->ended;
+  return this->knownReplaced;
 }
 
-/** Says once which layers a zone lacks: its callers' paths cross to another one
- * for these, or are refused. */
+// Requests of a zone with a gap cross to another zone for the missing layers,
+// or are refused.
 void
 PlacementController::logGaps(const std::string& aService,
                              const std::vector<CopyGap>& aGaps)
 {
-  std::vector<CopyGap>& logged = this->loggedGaps[aService];
-  if (logged == aGaps) {
+  std::vector<CopyGap>& lastLogged = this->lastLoggedGaps[aService];
+  if (lastLogged == aGaps) {
     return;
   }
-  logged = aGaps;
+  lastLogged = aGaps;
   std::string text;
   for (const CopyGap& gap : aGaps) {
     text += (text.empty() ? "" : " ") + gap.zone + "=" +
@@ -114,7 +116,8 @@
 }
 
 void
-PlacementController::give(const LayerOrder& aOrder, const Replica& aReplica)
+PlacementController::issueOrder(const LayerOrder& aOrder,
+                                const Replica& aReplica)
 {
   this->shared.metrics.count("placement_orders_total");
   this->shared.log.write(
@@ -126,12 +129,12 @@
       .with("to", aOrder.layers.to)
       .with("why", aOrder.reason)
       .with("fence", static_cast<std::int64_t>(this->fence)));
-  this->placeOrder(aReplica,
-                   aOrder.layers,
-                   this->fence,
-                   [this, replica = aReplica](const Result<Done>& aDone) {
-                     this->onOrderDone(replica, aDone);
-                   });
+  this->sendLayerOrder(aReplica,
+                       aOrder.layers,
+                       this->fence,
+                       [this, replica = aReplica](const Result<Done>& aDone) {
+                         this->onOrderDone(replica, aDone);
+                       });
 }
 
 void
@@ -144,13 +147,14 @@
   this->shared.log.write(LogLine{ LogPart::Placement, "order_failed" }
                            .with("replica", aReplica.id)
                            .with("reason", describe(aDone.error())));
-  // Without an answer the order may be carried out yet: it is waited for.
+  // An order without an answer may still be executed, so it stays open.
   if (aDone.error().kind == ErrorKind::PlatformUnknown) {
     return;
   }
   const std::scoped_lock lock{ this->guard };
+  // Another replica has answered at the address.
   if (aDone.error().kind == ErrorKind::NotFound) {
-    this->ended.insert(aReplica.id);
+    this->knownReplaced.insert(aReplica.id);
   }
   const auto planner = this->planners.find(aReplica.service);
   if (planner != this->planners.end()) {
--- a/tests/unit/relay/PlacementControllerTest.cpp
+++ b/tests/unit/relay/PlacementControllerTest.cpp
@@ -50,32 +50,34 @@
   {
     this->replicas.insert_or_assign(aReplica.id, aReplica);
   }
-  /** One look after this time. */
+  /** Publishes the replicas and runs one placement round after this time. */
   void pollAfter(Duration aTime)
   {
     this->now += aTime;
     this->shared.replicas.replace(std::make_shared<const ReplicaView>(
       ReplicaView::of(++this->version, this->replicas)));
-    this->controller.run(1, this->now);
+    this->controller.runRound(1, this->now);
   }
 
   int logFd;
   RelayShared shared;
   std::map<std::string, Replica> replicas;
   std::vector<std::string> ordered;
-  /** A replica at whose address another one answers. */
+  /** Id of a replica at whose address another one answers. */
   std::string takenOver;
   TimePoint now = TimePoint{} + seconds{ 100 };
   std::uint64_t version = 0;
   PlacementController controller;
 };
 
-TEST_F(PlacementControllerTest, AReplicaWhoseAddressAnotherHasIsNoNewcomer)
+TEST_F(PlacementControllerTest,
+       NoSecondOrderToAReplicaWhoseAddressAnotherOneHas)
 {
-  // A replica dies right after it registered, empty, and its endpoint is back
-  // at the same address under another name. The dead one stays listed for
-  // seconds. A part is lost and goes to the newcomer: at the address of the
-  // dead one somebody else answers, so that callers would wait for nothing.
+  // A replica dies right after it registered without layers, and its endpoint
+  // restarts at the same address under another name. The dead one stays listed
+  // for seconds. When layers are lost, the planner must order them from the new
+  // replica: orders to the dead one reach another replica and never take
+  // effect.
   for (int i = 0; i < 4; ++i) {
     const std::uint32_t from = 5 * static_cast<std::uint32_t>(i);
     this->list(holding("r" + std::to_string(i), "a", { from, from + 5 }));
