--- a/tests/unit/relay/FleetControlTest.cpp
+++ b/tests/unit/relay/FleetControlTest.cpp
@@ -16,50 +16,53 @@
 
 using namespace fleettest;
 
-/** A store whose answers are written down beforehand. When they have all been
- * given, looks wait until the test lets them end. */
+/** A store with scripted answers. When all have been returned, further polls
+ * block until the test calls end(). */
 class ScriptedStore
 {
 public:
-  /** Nothing: the look fails. */
-  void willAnswer(std::optional<ConfigPoll> aPoll)
+  /** Appends an answer to a configuration poll; nullopt: the poll fails. */
+  void scriptConfig(std::optional<ConfigPoll> aPoll)
   {
     this->configs.push_back(std::move(aPoll));
   }
-  void willList(std::optional<ReplicaPoll> aPoll)
+  /** Appends an answer to a replica list poll; nullopt: the poll fails. */
+  void scriptReplicas(std::optional<ReplicaPoll> aPoll)
   {
     this->lists.push_back(std::move(aPoll));
   }
-  /** Waits until every answer has been given and taken in: the next look has
-   * begun. */
-  void waitUntilGiven()
+  /** Waits until the relay has processed every answer: polls of both kinds
+   * block. */
+  void waitUntilProcessed()
   {
     std::unique_lock lock{ this->guard };
-    this->changed.wait(
-      lock, [this] { return this->configsWaiting && this->listsWaiting; });
+    this->changed.wait(lock, [this] {
+      return this->configPollBlocked && this->listPollBlocked;
+    });
   }
+  /** Lets the polls that block fail. */
   void end()
   {
     const std::scoped_lock lock{ this->guard };
-    this->ended = true;
+    this->stopped = true;
     this->changed.notify_all();
   }
 
   Result<ConfigPoll> readConfig(Duration)
   {
-    return this->next(this->configs, this->configsWaiting);
+    return this->next(this->configs, this->configPollBlocked);
   }
   Result<ConfigPoll> awaitConfig(std::uint64_t, Duration)
   {
-    return this->next(this->configs, this->configsWaiting);
+    return this->next(this->configs, this->configPollBlocked);
   }
   Result<ReplicaPoll> readReplicas(Duration)
   {
-    return this->next(this->lists, this->listsWaiting);
+    return this->next(this->lists, this->listPollBlocked);
   }
   Result<ReplicaPoll> awaitReplicas(std::uint64_t, Duration)
   {
-    return this->next(this->lists, this->listsWaiting);
+    return this->next(this->lists, this->listPollBlocked);
   }
   Result<std::optional<TableRow>> readRow(const std::string& aTable,
                                           const std::string& aKey)
@@ -104,13 +107,13 @@
 
 private:
   template<typename Poll>
-  Result<Poll> next(std::deque<std::optional<Poll>>& aScript, bool& aWaiting)
+  Result<Poll> next(std::deque<std::optional<Poll>>& aScript, bool& aBlocked)
   {
     std::unique_lock lock{ this->guard };
     if (aScript.empty()) {
-      aWaiting = true;
+      aBlocked = true;
       this->changed.notify_all();
-      this->changed.wait(lock, [this] { return this->ended; });
+      this->changed.wait(lock, [this] { return this->stopped; });
       return fail(ErrorKind::PlatformUnavailable);
     }
     std::optional<Poll> poll = std::move(aScript.front());
@@ -127,15 +130,15 @@
   std::deque<std::optional<ReplicaPoll>> lists;
   std::map<std::string, TableRow> rows;
   std::uint64_t version = 0;
-  bool configsWaiting = false;
-  bool listsWaiting = false;
-  bool ended = false;
+  bool configPollBlocked = false;
+  bool listPollBlocked = false;
+  bool stopped = false;
 };
 
 static_assert(FleetStoreLike<ScriptedStore>);
 
 ConfigPoll
-pollOf(std::uint64_t aVersion)
+configPoll(std::uint64_t aVersion)
 {
   RelayConfig config;
   config.version = aVersion;
@@ -146,7 +149,7 @@
 }
 
 ReplicaPoll
-listOf(const std::string& aId)
+replicaPoll(const std::string& aId)
 {
   ReplicaPoll poll;
   poll.whole = true;
@@ -169,8 +172,8 @@
   FleetControlTest(const FleetControlTest&) = delete;
   FleetControlTest& operator=(const FleetControlTest&) = delete;
 
-  /** Runs the threads until the script has been played. */
-  void play()
+  /** Runs the threads until they have processed the script. */
+  void runScript()
   {
     FleetControl<ScriptedStore> control{
       this->settings,
@@ -181,13 +184,13 @@
          std::uint64_t,
          const std::function<void(Result<Done>)>&) {}
     };
-    this->store.waitUntilGiven();
+    this->store.waitUntilProcessed();
     this->store.end();
   }
 
-  /** Runs the threads, does something once a replica is listed, and gives how
-   * many are listed when there are as many as wanted. Bounded, so that a fault
-   * ends the test. */
+  /** Runs the threads, calls aAct once a replica is listed, and waits until
+   * aWanted replicas are listed. Returns how many are. The wait is bounded, so
+   * that a fault ends the test. */
   template<typename Act>
   std::size_t listedAfter(Act aAct, std::size_t aWanted)
   {
@@ -224,95 +227,96 @@
 
 TEST_F(FleetControlTest, NeverGoesBackToAnOlderConfiguration)
 {
-  // The store answers two looks out of order. Going back would bring back a
-  // key that had been taken away.
-  this->store.willAnswer(pollOf(5));
-  this->store.willAnswer(pollOf(3));
-  this->store.willAnswer(pollOf(6));
-  this->store.willAnswer(pollOf(5));
-  this->play();
+  // The store answers polls out of order. Applying an older version would
+  // restore a key that has been removed.
+  this->store.scriptConfig(configPoll(5));
+  this->store.scriptConfig(configPoll(3));
+  this->store.scriptConfig(configPoll(6));
+  this->store.scriptConfig(configPoll(5));
+  this->runScript();
   EXPECT_EQ(this->shared.config.read()->version, 6U);
 }
 
-TEST_F(FleetControlTest, KeepsWhatItKnowsThroughAnOutage)
+TEST_F(FleetControlTest, KeepsConfigurationAndReplicasThroughAnOutage)
 {
-  this->store.willAnswer(pollOf(5));
-  this->store.willAnswer(std::nullopt);
-  this->store.willList(listOf("one"));
-  this->store.willList(std::nullopt);
-  this->play();
+  this->store.scriptConfig(configPoll(5));
+  this->store.scriptConfig(std::nullopt);
+  this->store.scriptReplicas(replicaPoll("one"));
+  this->store.scriptReplicas(std::nullopt);
+  this->runScript();
   EXPECT_EQ(this->shared.config.read()->version, 5U);
   EXPECT_EQ(this->shared.replicas.read()->replicas.size(), 1U);
 }
 
-TEST_F(FleetControlTest, AnUnreadableConfigurationProvesNothing)
+TEST_F(FleetControlTest, AnUnreadableConfigurationIsNoProofOfFreshness)
 {
-  // What stands in the store may have taken a key away; that it could not be
-  // read must not count as knowing.
+  // The configuration in the store may have removed a key. As it could not be
+  // read, the poll must not count as proof that the one in force is up to date.
   ConfigPoll broken;
   broken.unreadable.emplace_back("no version");
   broken.asOf = SuspendAwareClock{}.now() + std::chrono::seconds{ 1 };
-  this->store.willAnswer(pollOf(5));
-  this->store.willAnswer(broken);
-  this->play();
+  this->store.scriptConfig(configPoll(5));
+  this->store.scriptConfig(broken);
+  this->runScript();
   EXPECT_GE(this->shared.freshness.age(), Duration{ 0 });
 }
 
-TEST_F(FleetControlTest, WithoutAConfigurationThereIsNoProof)
+TEST_F(FleetControlTest, ThereIsNoProofOfFreshnessWithoutAConfiguration)
 {
   ConfigPoll empty;
   empty.asOf = SuspendAwareClock{}.now();
-  this->store.willAnswer(empty);
-  this->play();
+  this->store.scriptConfig(empty);
+  this->runScript();
   EXPECT_EQ(this->shared.freshness.age(), Duration::max());
 }
 
-TEST_F(FleetControlTest, ARelayThatDoesNotLookTakesOverWhatOthersTell)
+TEST_F(FleetControlTest, ARelayThatDoesNotPollAppliesUpdatesOfItsPeers)
 {
-  // Another relay of the zone looks at the store and tells of a new replica.
-  // This one lists it without a call of its own; its script has no second
-  // answer. News with a hole before them are left alone: what is missing could
-  // be that a replica leaves.
-  ReplicaPoll first = listOf("one");
+  // A store reader of the zone reports a new replica. This relay lists it
+  // without a call of its own; its script has no second answer. An update with
+  // a gap before it is ignored: a missing change could be that a replica
+  // drains.
+  ReplicaPoll first = replicaPoll("one");
   first.next = 5;
-  this->store.willAnswer(pollOf(5));
-  this->store.willList(first);
-  ReplicaListDelta hole{ 8, listOf("three") };
-  hole.poll.whole = false;
-  hole.poll.next = 9;
-  ReplicaListDelta joined{ 5, listOf("two") };
-  joined.poll.whole = false;
-  joined.poll.next = 6;
+  this->store.scriptConfig(configPoll(5));
+  this->store.scriptReplicas(first);
+  ReplicaListDelta afterGap{ 8, replicaPoll("three") };
+  afterGap.poll.whole = false;
+  afterGap.poll.next = 9;
+  ReplicaListDelta contiguous{ 5, replicaPoll("two") };
+  contiguous.poll.whole = false;
+  contiguous.poll.next = 6;
   this->shared.polls = false;
   const auto count = this->listedAfter(
     [&] {
-      this->shared.listInbox.push(hole);
-      this->shared.listInbox.push(joined);
+      this->shared.listInbox.push(afterGap);
+      this->shared.listInbox.push(contiguous);
     },
     2);
   EXPECT_EQ(count, 2U);
   EXPECT_EQ(this->shared.replicas.read()->replicas[1].id, "two");
 }
 
-TEST_F(FleetControlTest, WhatVanishesInAnOutageThatOthersTellOfIsKept)
+TEST_F(FleetControlTest, KeepsReplicasThatVanishInAnOutageReportedByPeers)
 {
-  // All relays that look say that the store is away; entries lapse meanwhile.
-  // One that does not look hears first of the outage, then that an entry is
-  // gone and one is new. The replica of the first serves on.
-  ReplicaPoll first = listOf("one");
+  // All store readers report that the store is unavailable, and entries expire
+  // meanwhile. A relay that does not poll learns of the outage, then of an
+  // entry that was removed and one that was added. The replica of the removed
+  // entry still runs and must stay listed.
+  ReplicaPoll first = replicaPoll("one");
   first.next = 5;
-  this->store.willAnswer(pollOf(5));
-  this->store.willList(first);
-  ReplicaListDelta lapsed{ 5, listOf("two") };
-  lapsed.poll.whole = false;
-  lapsed.poll.next = 6;
-  lapsed.poll.removed = { "one" };
+  this->store.scriptConfig(configPoll(5));
+  this->store.scriptReplicas(first);
+  ReplicaListDelta expired{ 5, replicaPoll("two") };
+  expired.poll.whole = false;
+  expired.poll.next = 6;
+  expired.poll.removed = { "one" };
   this->shared.polls = false;
   const auto count = this->listedAfter(
     [&] {
       this->shared.peersSawOutageAt =
         SuspendAwareClock{}.now().time_since_epoch().count();
-      this->shared.listInbox.push(lapsed);
+      this->shared.listInbox.push(expired);
     },
     2);
   EXPECT_EQ(count, 2U);
--- a/tests/unit/relay/PlacementControllerTest.cpp
+++ b/tests/unit/relay/PlacementControllerTest.cpp
@@ -28,7 +28,7 @@
                         std::uint64_t,
                         const std::function<void(Result<Done>)>& aDone) {
                    this->ordered.push_back(aReplica.id);
-                   if (aReplica.id == this->takenOver) {
+                   if (aReplica.id == this->replacedId) {
                      aDone(
                        fail(ErrorKind::NotFound, "another replica answered"));
                      return;
@@ -51,7 +51,7 @@
     this->replicas.insert_or_assign(aReplica.id, aReplica);
   }
   /** Publishes the replicas and runs one placement round after this time. */
-  void pollAfter(Duration aTime)
+  void runRoundAfter(Duration aTime)
   {
     this->now += aTime;
     this->shared.replicas.replace(std::make_shared<const ReplicaView>(
@@ -64,7 +64,7 @@
   std::map<std::string, Replica> replicas;
   std::vector<std::string> ordered;
   /** Id of a replica at whose address another one answers. */
-  std::string takenOver;
+  std::string replacedId;
   TimePoint now = TimePoint{} + seconds{ 100 };
   std::uint64_t version = 0;
   PlacementController controller;
@@ -82,15 +82,15 @@
     const std::uint32_t from = 5 * static_cast<std::uint32_t>(i);
     this->list(holding("r" + std::to_string(i), "a", { from, from + 5 }));
   }
-  this->pollAfter(seconds{ 1 });
+  this->runRoundAfter(seconds{ 1 });
   ASSERT_TRUE(this->ordered.empty());
   this->replicas.erase("r1");
   this->list(replicaOf("dead", "a", "fast"));
-  this->takenOver = "dead";
-  this->pollAfter(milliseconds{ 100 });
+  this->replacedId = "dead";
+  this->runRoundAfter(milliseconds{ 100 });
   this->list(replicaOf("new", "a", "fast"));
   for (int i = 0; i < 30; ++i) {
-    this->pollAfter(milliseconds{ 100 });
+    this->runRoundAfter(milliseconds{ 100 });
   }
   EXPECT_EQ(std::count(this->ordered.begin(), this->ordered.end(), "dead"), 1);
   std::vector<bool> held(20, false);
--- a/tests/unit/relay/QuarantineRowsTest.cpp
+++ b/tests/unit/relay/QuarantineRowsTest.cpp
@@ -14,7 +14,7 @@
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 constexpr Fingerprint kRequest{ 1, 2 };
 
-/** One table of rows that may be out of reach. */
+/** A store with one table of rows, which may be unavailable. */
 class RowStore
 {
 public:
@@ -32,7 +32,7 @@
                                          std::size_t)
   {
     ++this->calls;
-    if (this->away) {
+    if (this->unavailable) {
       return fail(ErrorKind::PlatformUnavailable);
     }
     std::vector<TableRow> all;
@@ -45,7 +45,7 @@
     const std::vector<TableWrite>& aWrites)
   {
     ++this->calls;
-    if (this->away) {
+    if (this->unavailable) {
       return fail(ErrorKind::PlatformUnavailable);
     }
     const TableWrite& write = aWrites.front();
@@ -56,11 +56,12 @@
       return fail(ErrorKind::Conflict);
     }
     if (write.value) {
-      this->rows[write.key] = TableRow{ write.key, *write.value, ++this->next };
+      this->rows[write.key] =
+        TableRow{ write.key, *write.value, ++this->lastVersion };
     } else {
       this->rows.erase(write.key);
     }
-    return std::vector<std::uint64_t>{ this->next };
+    return std::vector<std::uint64_t>{ this->lastVersion };
   }
   Result<Done> putObject(const std::string&, const std::string&)
   {
@@ -76,9 +77,9 @@
   }
 
   std::map<std::string, TableRow> rows;
-  std::uint64_t next = 0;
+  std::uint64_t lastVersion = 0;
   int calls = 0;
-  bool away = false;
+  bool unavailable = false;
 };
 
 class QuarantineRowsTest : public ::testing::Test
@@ -91,13 +92,14 @@
   }
   ~QuarantineRowsTest() override { ::close(this->logFd); }
 
-  void hold(bool aOwn)
+  /** Puts the request in quarantine. aOwn: this relay observed the crash. */
+  void quarantine(bool aOwn)
   {
     this->shared.quarantine.replace(
       std::make_shared<const std::vector<QuarantineRecord>>(
         1, QuarantineRecord{ kRequest, Duration{ 0 }, aOwn }));
   }
-  void release()
+  void endQuarantine()
   {
     this->shared.quarantine.replace(
       std::make_shared<const std::vector<QuarantineRecord>>());
@@ -112,23 +114,23 @@
 {
   QuarantineRows<RowStore> finder{ this->shared, this->store };
   finder.refresh(kStart);
-  this->hold(true);
+  this->quarantine(true);
   finder.refresh(kStart + milliseconds{ 250 });
   EXPECT_EQ(this->store.rows.count(toText(kRequest)), 1U);
-  RelayShared nextLife{ this->logFd };
-  QuarantineRows<RowStore> reader{ nextLife, this->store };
+  RelayShared restarted{ this->logFd };
+  QuarantineRows<RowStore> reader{ restarted, this->store };
   reader.refresh(kStart + seconds{ 5 });
   reader.refresh(kStart + seconds{ 6 });
-  EXPECT_EQ(*nextLife.storedQuarantine.read(),
+  EXPECT_EQ(*restarted.storedQuarantine.read(),
             std::vector<Fingerprint>{ kRequest });
   reader.refresh(kStart + seconds{ 7 });
   EXPECT_EQ(this->store.rows.count(toText(kRequest)), 1U);
 }
 
-TEST_F(QuarantineRowsTest, WhatOthersToldIsWrittenByTheLeaderAlone)
+TEST_F(QuarantineRowsTest, AReportedQuarantineIsWrittenByTheLeaseHolderAlone)
 {
   QuarantineRows<RowStore> rows{ this->shared, this->store };
-  this->hold(false);
+  this->quarantine(false);
   rows.refresh(kStart);
   EXPECT_TRUE(this->store.rows.empty());
   this->shared.holdsLease = true;
@@ -139,33 +141,35 @@
   EXPECT_EQ(this->store.calls, calls);
 }
 
-TEST_F(QuarantineRowsTest, IsWrittenOnceTheStoreIsBack)
+TEST_F(QuarantineRowsTest, ARowIsWrittenOnceTheStoreIsAvailableAgain)
 {
   QuarantineRows<RowStore> rows{ this->shared, this->store };
-  this->hold(true);
-  this->store.away = true;
+  this->quarantine(true);
+  this->store.unavailable = true;
   rows.refresh(kStart);
   rows.refresh(kStart + milliseconds{ 250 });
   EXPECT_EQ(this->store.calls, 1);
-  this->store.away = false;
+  this->store.unavailable = false;
   rows.refresh(kStart + seconds{ 2 });
   EXPECT_EQ(this->store.rows.size(), 1U);
 }
 
-TEST_F(QuarantineRowsTest, ARowGoesWhenItsQuarantineIsOver)
+TEST_F(QuarantineRowsTest, ARowIsDeletedWhenItsQuarantineIsOver)
 {
   QuarantineRows<RowStore> rows{ this->shared, this->store };
-  this->hold(true);
+  this->quarantine(true);
   rows.refresh(kStart);
   EXPECT_EQ(this->store.rows.size(), 1U);
-  this->release();
+  this->endQuarantine();
   rows.refresh(kStart + milliseconds{ 250 });
   EXPECT_TRUE(this->store.rows.empty());
 }
 
-TEST_F(QuarantineRowsTest, ARelayThatHearsNobodyReadsAgain)
+TEST_F(QuarantineRowsTest, AnIsolatedRelayReadsRegularly)
 {
-  // Cut off from the other relays alone, it sent on what they had found.
+  // A relay that is cut off from the other relays, but not from the store, gets
+  // no reports of new quarantines. Without regular reads it would forward the
+  // requests that the others have put in quarantine.
   this->shared.peers.replace(std::make_shared<const std::vector<Address>>(
     std::vector<Address>{ { "127.0.0.1", 9 } }));
   QuarantineRows<RowStore> rows{ this->shared, this->store };
@@ -179,7 +183,8 @@
 
 TEST_F(QuarantineRowsTest, RelaysThatStartTogetherDoNotAllRead)
 {
-  // Hundreds of reads at the store when all relays start again.
+  // When all relays restart, a read by each would be hundreds of reads at the
+  // store. Only the store readers read, once they know each other.
   this->shared.peers.replace(std::make_shared<const std::vector<Address>>(
     std::vector<Address>{ { "127.0.0.1", 9 } }));
   QuarantineRows<RowStore> rows{ this->shared, this->store };
--- a/tests/unit/relay/RelayDirectoryTest.cpp
+++ b/tests/unit/relay/RelayDirectoryTest.cpp
@@ -7,11 +7,11 @@
 namespace poplartrack {
 namespace {
 
-/** The rows of a large region's relays; nothing else. */
-class RowsOfRelays
+/** A store that holds the rows of aRelays relays and nothing else. */
+class RelayRowStore
 {
 public:
-  explicit RowsOfRelays(int aRelays)
+  explicit RelayRowStore(int aRelays)
   {
     for (int i = 0; i < aRelays; ++i) {
       const std::string name = std::to_string(1'000 + i);
@@ -56,16 +56,16 @@
 
 TEST(RelayDirectory, ARelayKnowsAllOthersOfALargeRegion)
 {
-  // 370 relays. Where only 64 were listed, those behind them did not hear each
-  // other: each took the retry budget's slack for its own, and callers'
-  // attempts at the engines passed the bound together.
+  // With 370 relays and a limit of 64 listed ones, the relays beyond the limit
+  // receive no status messages from each other. Each then uses the whole slack
+  // of the retry budget, and together they exceed the bound on attempts.
   RelaySettings settings;
   settings.region = "r";
   settings.name = "1000";
   settings.peers = { "10.0.0.1", 1'000 };
   RelayShared shared{ ::open("/dev/null", O_WRONLY) };
-  RowsOfRelays store{ 370 };
-  RelayDirectory<RowsOfRelays> directory{ settings, shared, store };
+  RelayRowStore store{ 370 };
+  RelayDirectory<RelayRowStore> directory{ settings, shared, store };
   directory.refresh(TimePoint{ std::chrono::hours{ 1 } });
   EXPECT_EQ(shared.peers.read()->size(), 369U);
 }
--- a/tests/unit/relay/RelaySettingsTest.cpp
+++ b/tests/unit/relay/RelaySettingsTest.cpp
@@ -21,7 +21,7 @@
 strict_revoke = false
 )";
 
-TEST(RelaySettings, ReadsWhatTheInstanceGives)
+TEST(RelaySettings, ParsesASettingsFile)
 {
   const auto settings = parseRelaySettings("relay.toml", kText);
   ASSERT_TRUE(settings.ok()) << toText(settings.problems);
@@ -32,7 +32,7 @@
   EXPECT_FALSE(settings.value.strictRevoke);
 }
 
-TEST(RelaySettings, NamesEveryMistakeWithFileLineAndKey)
+TEST(RelaySettings, ReportsEveryMistakeWithFileLineAndKey)
 {
   std::string text = kText;
   text.replace(text.find("127.0.0.1:4"), 11, "nowhere");
