--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -27,8 +27,9 @@
 
 } // namespace fleet_control
 
-// Store readers pause after each change. So one zone may have a new list this
-// much earlier than the store readers of another zone get it and send it on.
+// Store readers pause after each change, so those of one zone may get a new
+// list later than those of another by batchDelay(). That is no reason for a
+// read.
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::listCatchUpDelay() const
@@ -36,7 +37,9 @@
   return fleet_control::kMaxLag + this->batchDelay();
 }
 
-// In both cases the poll in progress may be waiting on a dead connection.
+// Reads the configuration while the poll in progress may be waiting on a dead
+// connection: when a peer has had a newer version for a while, or when no relay
+// has a recent proof of freshness.
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::catchUpConfig()
@@ -59,7 +62,7 @@
     this->configReachable = !storeUnavailable;
     this->shared.configPollFailed = storeUnavailable;
   }
-  // After a failed poll the following thread retries by itself.
+  // After a failed poll followConfig() retries by itself.
   const bool proofOld =
     config != nullptr && this->configReachable &&
     StorePollSchedule::wantsProof(this->shared.freshness.age(),
@@ -74,6 +77,7 @@
   return fleet_control::kCatchUpInterval;
 }
 
+// Reads the replica list when a peer has had a newer one for a while.
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::catchUpReplicas()
--- a/include/poplartrack/relay/FleetControl.h
+++ b/include/poplartrack/relay/FleetControl.h
@@ -69,7 +69,8 @@
   void releaseLease();
 
 private:
-  // Work of the threads; each returns the pause until its next round.
+  // The functions that a thread calls repeatedly return the pause until the
+  // next call.
 
   /** Polls the configuration, or leaves that to the store readers. */
   Duration followConfig();
@@ -146,7 +147,7 @@
   std::optional<TimePoint> configBehindSince;
   /** Since when another relay has had a newer replica list. */
   std::optional<TimePoint> listBehindSince;
-  /** Newest peer version for which a catch-up read of the list was made. */
+  /** List version of the peers at the latest successful catch-up read. */
   std::uint64_t listReadForVersion = 0;
   /** When pollLease() last polled the lease. */
   TimePoint leasePolledAt{};
@@ -161,7 +162,9 @@
   /** The latest poll of the replica list reached the store. */
   std::atomic<bool> replicasReachable{ true };
 
+  /** Used by the placement thread. */
   PlacementController placement;
+  // Used by the housekeeping thread.
   RelayDirectory<Store> directory;
   QuarantineRows<Store> quarantine;
   /** Fencing number of the lease under which this relay places layers; 0: it
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -263,6 +263,7 @@
     this->onStoreAvailable("replicas");
   }
   this->awaitsReplicaChanges = true;
+  // A store reader does not need the updates of its peers.
   this->shared.listInbox.take();
   this->applyReplicaPoll(poll.value(), now);
   const bool unchanged =
@@ -351,8 +352,9 @@
   }
 }
 
-// While another relay holds the lease there is nothing to contend for. A lease
-// that its holder reports as released is taken without waiting for its end.
+// While the holder of the lease is known to be alive, the other relays do not
+// contend for it. A lease that its holder reports as released can be taken at
+// once, without waiting until it expires.
 template<FleetStoreLike Store>
 void
 FleetControl<Store>::pollLease()
@@ -360,9 +362,9 @@
   const TimePoint now = this->clock.now();
   const TimePoint leaderSeenAt{ Duration{ this->shared.leaderSeenAt.load() } };
   const bool leaderKnown = now - leaderSeenAt < fleet_control::kLeaderTimeout;
-  // While the store is unavailable only the two following threads retry. Polls
-  // of the lease by each relay as well would be 200 useless calls in 8 s with
-  // 24 relays.
+  // While the store is unavailable, only the threads that follow the
+  // configuration and the replica list retry. Polls of the lease by each relay
+  // as well would be 200 useless calls in 8 s with 24 relays.
   const bool storeUnavailable =
     !this->configReachable && !this->replicasReachable;
   if ((storeUnavailable || !this->shared.polls) && this->placementFence == 0) {
@@ -377,9 +379,9 @@
   this->lease.poll();
 }
 
-// The poll in progress may wait ten seconds more before it decides on entries
-// that another thread found missing, so the housekeeping thread does it in
-// time.
+// A poll of the list drops expired entries when it ends, but it may take up to
+// ten seconds. Entries that another thread found missing meanwhile are dropped
+// here in time.
 template<FleetStoreLike Store>
 void
 FleetControl<Store>::removeExpiredReplicas()
@@ -404,9 +406,9 @@
   return fleet_control::kHousekeepingInterval;
 }
 
-// When the lease is no longer held here, reports that to the other relays. If
+// When this relay no longer holds the lease, it reports that to the others. If
 // the store rejects only this relay, they would otherwise wait until the lease
-// ends for them too: lost layers would not be replaced for 3 s.
+// expires for them too, and lost layers would not be replaced for 3 s.
 template<FleetStoreLike Store>
 Duration
 FleetControl<Store>::runPlacement()
--- a/include/poplartrack/relay/QuarantineRows.h
+++ b/include/poplartrack/relay/QuarantineRows.h
@@ -92,11 +92,15 @@
 
   RelayShared& shared;
   Store& store;
+  /** When refresh() was first called. */
   TimePoint startedAt{};
   /** When this relay last knew another store reader or had no peers. */
   TimePoint lastConnectedAt{};
+  /** No call before this time. */
   TimePoint nextAttempt{};
+  /** When the rows were last read. */
   TimePoint readAt{};
+  /** The rows have been read at least once. */
   bool hasRead = false;
   /** What this relay knows of a request's row. */
   struct RowState
--- a/include/poplartrack/relay/RelayShared.h
+++ b/include/poplartrack/relay/RelayShared.h
@@ -93,7 +93,8 @@
   /** This relay is a store reader: it polls the store. Otherwise store readers
    * send it the changes. */
   std::atomic<bool> polls{ true };
-  /** The latest poll of the replica list by this relay failed. */
+  /** The latest poll of the replica list by this relay failed. Cleared some
+   * seconds after a relay has stopped polling. */
   std::atomic<bool> pollsFail{ false };
   /** When all store readers last reported that the store is unavailable, in
    * microseconds of the clock; 0: never. */
