--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -85,7 +85,7 @@
   aCaller.exchange = exchange.id;
   aCaller.closeWhenAnswered = !aCaller.parser->keep_alive();
   this->exchanges.emplace(exchange.id, std::move(owned));
-  this->shared.called = true;
+  this->shared.receivedRequest = true;
   ++this->openCount;
   this->admit(exchange);
 }
@@ -126,7 +126,7 @@
       aExchange, Error{ ErrorKind::BadRequest, "host, id or path" }, true);
     return;
   }
-  if (this->shared.refusing) {
+  if (this->shared.refusesRequests) {
     this->refuse(aExchange, Error{ ErrorKind::Draining, "stopping" }, true);
     return;
   }
@@ -159,7 +159,8 @@
 ConfigProof
 RelayLoop::Impl::configProof() const
 {
-  return ConfigProof{ this->shared.freshness.age(), this->shared.storeFails };
+  return ConfigProof{ this->shared.freshness.age(),
+                      this->shared.configPollFailed };
 }
 
 /** Returns whether the request may be sent now under the configuration. */
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -72,7 +72,7 @@
 bool
 RelayLoop::Impl::usesLostReplica(const Exchange& aExchange) const
 {
-  const auto lost = this->shared.lost.read();
+  const auto lost = this->shared.lostReplicas.read();
   const auto& parts = aExchange.path.parts;
   return !lost->empty() &&
          std::any_of(parts.begin(), parts.end(), [&](const PathPart& aPart) {
@@ -124,7 +124,7 @@
   }
   this->askedAt[aPart.replica] = this->now;
   this->shared.metrics.count("replica_questions_total");
-  this->calls.ask(
+  this->calls.queryStatus(
     aPart.address,
     [this, replica = aPart.replica](const ReplicaReport& aReport) {
       this->post(
@@ -189,7 +189,7 @@
   }
   // Work at a slow replica is not moved. Moving hundreds of streams at once
   // would occupy the zone links for longer than the slow replica delays them.
-  this->health.onSlowdown(aReplica, aReport.pace);
+  this->health.onSlowdown(aReplica, aReport.slowdown);
   if (aReport.stalled.empty()) {
     this->requestPathReports(aReplica);
     return;
