--- a/src/relay/Exchange.h
+++ b/src/relay/Exchange.h
@@ -50,10 +50,10 @@
   std::uint64_t connection = 0;
   std::string replica;
   LayerPath path;
-  double bookedTokens = 0;
-  bool booked = false;
+  double reservedTokens = 0;
+  bool loadRecorded = false;
   /** Its prompt is booked as being read. */
-  bool reading = false;
+  bool prefillRecorded = false;
   /** Replicas that may have run it, without the present attempt. */
   int runs = 0;
   /** Attempts sent, also those that were refused. */
@@ -64,13 +64,13 @@
   /** When the first event of the present attempt came. */
   std::optional<TimePoint> runningSince;
   /** Its next attempt is a retry that the budget has not paid for yet. */
-  bool owesRetry = false;
+  bool needsRetryBudget = false;
   /** Waits for a path or for the retry budget since then. */
   std::optional<TimePoint> waitingSince;
 
   /** Requests a second to which the present attempt's replica limits all
    * relays, as its answer says. */
-  std::optional<double> namedLimit;
+  std::optional<double> reportedLimit;
 
   /** The head of the answer went to the caller. */
   bool answering = false;
@@ -82,8 +82,8 @@
   TimePoint lastProgress{};
   Duration longestPause{ 0 };
   /** Progress is overdue and the cause is being asked for. */
-  bool asking = false;
-  TimePoint askedAt{};
+  bool overdue = false;
+  TimePoint overdueHandledAt{};
   std::uint32_t repairs = 0;
   /** When it was last ordered onto another path; until it moves again. */
   std::optional<TimePoint> repairedAt;
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -107,7 +107,7 @@
 RelayLoop::Impl::admit(Exchange& aExchange)
 {
   if (this->waitsForStart(aExchange)) {
-    this->timers.arm(aExchange.id, this->now + kWaitPause);
+    this->timers.arm(aExchange.id, this->now + kWaitRetryInterval);
     return;
   }
   const HeaderList& headers = aExchange.head.headers;
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -151,7 +151,7 @@
     this->noteRepaired(aExchange);
     text.append(chunkOf(out));
     aExchange.lastProgress = this->now;
-    aExchange.asking = false;
+    aExchange.overdue = false;
   }
   if (aEnd) {
     text.append(kLastChunk);
@@ -234,7 +234,7 @@
   const auto caller = this->callers.find(exchange.caller);
   this->endExchange(exchange);
   if (caller != this->callers.end()) {
-    this->afterAnswer(*caller->second);
+    this->onAnswerWritten(*caller->second);
   }
 }
 
@@ -286,7 +286,7 @@
   // A started stream waits for the budget, and for a path, before it is cut.
   if (maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(RetryReason::ReplicaRefused);
-    aExchange.owesRetry = true;
+    aExchange.needsRetryBudget = true;
     this->dispatch(aExchange);
     return;
   }
@@ -320,14 +320,14 @@
                           (route.rule == RetryRule::Stream && route.resumable);
   const bool allowed = !ran || (repeatable && aExchange.runs < route.attempts);
   if (aFailure == ReplicaFailure::Unreachable) {
-    this->publishLost();
+    this->publishLostReplicas();
     this->confirmCrashes();
   }
   if (allowed && maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(aExchange.answering
                                       ? RetryReason::StreamBroken
                                       : RetryReason::ReplicaFailed);
-    aExchange.owesRetry = true;
+    aExchange.needsRetryBudget = true;
     this->dispatch(aExchange);
     return;
   }
--- a/src/relay/RelayCallers.cpp
+++ b/src/relay/RelayCallers.cpp
@@ -314,7 +314,7 @@
 
 /** The answer has been written; the connection is free for the next. */
 void
-RelayLoop::Impl::afterAnswer(CallerConnection& aCaller)
+RelayLoop::Impl::onAnswerWritten(CallerConnection& aCaller)
 {
   aCaller.exchange = 0;
   aCaller.since = this->now;
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -113,23 +113,23 @@
 RelayLoop::Impl::addLoad(Exchange& aExchange)
 {
   this->removeLoad(aExchange);
-  aExchange.booked = true;
+  aExchange.loadRecorded = true;
   if (aExchange.path.parts.empty()) {
     ++this->plainLoad[aExchange.replica];
     return;
   }
-  aExchange.bookedTokens = aExchange.need.prompt + aExchange.need.answer;
-  this->loads.add(aExchange.path, aExchange.bookedTokens);
+  aExchange.reservedTokens = aExchange.need.prompt + aExchange.need.answer;
+  this->loads.add(aExchange.path, aExchange.reservedTokens);
   this->loads.beginPrefill(aExchange.path, aExchange.need.prompt);
-  aExchange.reading = true;
+  aExchange.prefillRecorded = true;
 }
 
 /** The first event of an attempt has come: its prompt has been read. */
 void
 RelayLoop::Impl::endPrefill(Exchange& aExchange)
 {
-  if (aExchange.reading) {
-    aExchange.reading = false;
+  if (aExchange.prefillRecorded) {
+    aExchange.prefillRecorded = false;
     this->loads.endPrefill(aExchange.path, aExchange.need.prompt);
   }
 }
@@ -137,13 +137,13 @@
 void
 RelayLoop::Impl::removeLoad(Exchange& aExchange)
 {
-  if (!aExchange.booked) {
+  if (!aExchange.loadRecorded) {
     return;
   }
-  aExchange.booked = false;
+  aExchange.loadRecorded = false;
   this->endPrefill(aExchange);
   if (!aExchange.path.parts.empty()) {
-    this->loads.remove(aExchange.path, aExchange.bookedTokens);
+    this->loads.remove(aExchange.path, aExchange.reservedTokens);
     return;
   }
   const auto found = this->plainLoad.find(aExchange.replica);
@@ -197,7 +197,7 @@
 bool
 RelayLoop::Impl::isLost(const std::string& aReplica) const
 {
-  return this->ended.contains(aReplica) ||
+  return this->restartedReplicas.contains(aReplica) ||
          this->reports.lost(aReplica,
                             this->health.dead(aReplica, this->now),
                             this->knownPeers.size() + 1);
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -52,7 +52,7 @@
 {
   // However many relays there are, two decide.
   constexpr std::size_t kAsOfFew = 1;
-  return this->ended.contains(aReplica) ||
+  return this->restartedReplicas.contains(aReplica) ||
          this->replicaOf(aReplica) == nullptr ||
          this->reports.lost(
            aReplica, this->health.dead(aReplica, this->now), kAsOfFew);
@@ -198,8 +198,8 @@
 RelayLoop::Impl::refreshQuarantine()
 {
   const auto stored = this->shared.quarantineStored.read();
-  if (stored != this->quarantineRead) {
-    this->quarantineRead = stored;
+  if (stored != this->lastStoredQuarantine) {
+    this->lastStoredQuarantine = stored;
     for (const Fingerprint& request : *stored) {
       if (this->crashes.onQuarantined(request, Duration{ 0 }, this->now)) {
         this->onQuarantine(request, false);
--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -48,7 +48,7 @@
   for (const Replica& replica : this->view->replicas) {
     const auto found = drains.find(replica.id);
     const bool leaves = found == drains.end() || found->second;
-    if (leaves && !this->ended.contains(replica.id)) {
+    if (leaves && !this->restartedReplicas.contains(replica.id)) {
       this->drainingSince.try_emplace(replica.id, this->now);
     }
   }
@@ -82,7 +82,7 @@
 void
 RelayLoop::Impl::endIncarnation(const std::string& aReplica)
 {
-  if (!this->ended.try_emplace(aReplica, this->now).second) {
+  if (!this->restartedReplicas.try_emplace(aReplica, this->now).second) {
     return;
   }
   this->shared.metrics.count("replica_restarts_total");
@@ -135,7 +135,8 @@
   std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
     const PeerDrainReport& report = aEntry.second;
     return report.list <= this->view->changed ||
-           this->now - report.heard > this->settings.drain * kDrainReportBounds;
+           this->now - report.receivedAt >
+             this->settings.drain * kDrainReportBounds;
   });
 }
 
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -65,8 +65,8 @@
     line.with("crossings",
               static_cast<std::int64_t>(aExchange.path.crossings.size()));
   }
-  if (aExchange.namedLimit) {
-    line.with("limit_milli", milliOf(*aExchange.namedLimit));
+  if (aExchange.reportedLimit) {
+    line.with("limit_milli", milliOf(*aExchange.reportedLimit));
   }
   if (aExchange.streaming) {
     line.with("events", aExchange.events);
@@ -104,19 +104,19 @@
     this->onCallerGone(aExchange.id);
     return;
   }
-  if (target && aExchange.owesRetry &&
+  if (target && aExchange.needsRetryBudget &&
       !this->budgetOf(aExchange).tryRetry(retryNeedOf(aExchange), this->now)) {
     target = fail(ErrorKind::Overloaded, "the retry budget is used up");
   }
   if (target) {
-    aExchange.owesRetry = false;
+    aExchange.needsRetryBudget = false;
     aExchange.waitingSince.reset();
     this->send(aExchange, target.value());
     return;
   }
   if (this->mayWait(aExchange, target.error().kind)) {
     if (this->waiting.empty()) {
-      this->timers.arm(kWaitingKey, this->now + kWaitPause);
+      this->timers.arm(kWaitQueueTimerKey, this->now + kWaitRetryInterval);
     }
     this->waiting.join(this->waiterOf(aExchange));
     return;
@@ -142,9 +142,9 @@
   aExchange.path = aTarget.path;
   aExchange.sentAt = this->now;
   aExchange.runningSince.reset();
-  aExchange.namedLimit.reset();
+  aExchange.reportedLimit.reset();
   aExchange.lastProgress = this->now;
-  aExchange.asking = false;
+  aExchange.overdue = false;
   ++aExchange.sends;
   this->waiting.leave(aExchange.id);
   this->replicaLimits.onSent(aTarget.replica, this->now);
@@ -171,7 +171,7 @@
     next = std::min(next, aExchange.sentAt + kConnectPatience);
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
-      aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
+      aExchange.overdue ? aExchange.overdueHandledAt : aExchange.lastProgress;
     next = std::min(next, since + this->stallTimeoutOf(aExchange));
   }
   this->timers.arm(aExchange.id, next);
@@ -203,7 +203,7 @@
     }
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
-      aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
+      aExchange.overdue ? aExchange.overdueHandledAt : aExchange.lastProgress;
     if (this->now - since >= this->stallTimeoutOf(aExchange)) {
       this->onOverdue(aExchange);
       return;
@@ -286,7 +286,7 @@
   const bool answering = aExchange.answering;
   RefusalState state;
   state.kind = error.kind;
-  state.othersServe = this->now - this->peerFreshAt <= kPeerServes;
+  state.othersServe = this->now - this->peerProvedFreshAt <= kPeerServes;
   state.timeLeft = aExchange.giveUpAt - this->now;
   state.spread = hashOf(requestId);
   if (state.kind == ErrorKind::Quarantined) {
@@ -308,7 +308,7 @@
   const Duration retryAfter =
     status == kUnavailable ? retryAdvice(state) : Duration{ 0 };
   this->answerError(caller, error, requestId, retryAfter, caller.closeAfterOut);
-  this->afterAnswer(caller);
+  this->onAnswerWritten(caller);
 }
 
 } // namespace poplartrack
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -40,23 +40,23 @@
   const bool success = aHead.status >= kOk && aHead.status < kMultiple;
   const auto field = aHead.headers.find(this->names.rateLimit);
   if (field) {
-    aExchange.namedLimit = decimalIn(*field);
-    this->shared.metrics.count(aExchange.namedLimit
+    aExchange.reportedLimit = decimalIn(*field);
+    this->shared.metrics.count(aExchange.reportedLimit
                                  ? "answers_with_limit_total"
                                  : "answers_with_unreadable_limit_total");
   }
   const Replica* replica = this->replicaOf(aExchange.replica);
-  const bool tells = field ? aExchange.namedLimit.has_value() : success;
+  const bool tells = field ? aExchange.reportedLimit.has_value() : success;
   if (replica == nullptr || !tells ||
       !this->replicaLimits.onAnswer(
-        replica->id, replica->zone, aExchange.namedLimit, this->now)) {
+        replica->id, replica->zone, aExchange.reportedLimit, this->now)) {
     return;
   }
   LogLine line{ LogPart::Replicas,
-                aExchange.namedLimit ? "limits" : "limits_no_more" };
+                aExchange.reportedLimit ? "limits" : "limits_no_more" };
   line.with("replica", replica->id);
-  if (aExchange.namedLimit) {
-    line.with("limit_milli", milliOf(*aExchange.namedLimit));
+  if (aExchange.reportedLimit) {
+    line.with("limit_milli", milliOf(*aExchange.reportedLimit));
   }
   this->shared.log.write(line);
   this->broadcastStatus(true);
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -212,7 +212,7 @@
 void
 RelayLoop::Impl::onTimer(std::uint64_t aKey)
 {
-  if (aKey == kWaitingKey) {
+  if (aKey == kWaitQueueTimerKey) {
     this->tryWaiting();
     return;
   }
@@ -244,14 +244,14 @@
   }
   this->health.keepOnly(listed);
   this->replicaLimits.keepOnly(listed);
-  std::erase_if(this->askedAt, [&](const auto& aEntry) {
+  std::erase_if(this->reportRequestedAt, [&](const auto& aEntry) {
     return !listed.contains(aEntry.first);
   });
   this->confirmCrashes();
 }
 
 void
-RelayLoop::Impl::publishLost()
+RelayLoop::Impl::publishLostReplicas()
 {
   RelayShared::LostReplicas lost;
   for (const std::string& replica : this->health.lost(this->now)) {
@@ -266,7 +266,7 @@
   for (const std::string& replica : this->reports.slow()) {
     lost.insert_or_assign(replica, true);
   }
-  for (const auto& [replica, since] : this->ended) {
+  for (const auto& [replica, since] : this->restartedReplicas) {
     lost.insert_or_assign(replica, true);
   }
   for (const std::string& replica : this->reports.suspects()) {
@@ -324,7 +324,7 @@
   this->refreshReplicas();
   this->loads.expirePeers(this->now);
   std::erase_if(this->knownPeers, [this](const auto& aEntry) {
-    const bool silent = this->now - aEntry.second.heard > kPeerSilence;
+    const bool silent = this->now - aEntry.second.receivedAt > kPeerSilence;
     if (silent) {
       this->links.forget(
         incarnationName(aEntry.first, aEntry.second.echo.incarnation));
@@ -335,10 +335,10 @@
   this->chooseReaders();
   this->reports.expire(this->now);
   this->expireDrainReports();
-  std::erase_if(this->ended, [this](const auto& aEntry) {
+  std::erase_if(this->restartedReplicas, [this](const auto& aEntry) {
     return this->now - aEntry.second > kEndedForgotten;
   });
-  this->publishLost();
+  this->publishLostReplicas();
   this->refreshQuarantine();
   this->publishBusy();
   this->budgets.setRelays(
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -45,10 +45,10 @@
 
 /** Pause between two looks for what a request waits for: a path, or what a
  * relay that has just started must know. */
-constexpr Duration kWaitPause = std::chrono::milliseconds{ 25 };
+constexpr Duration kWaitRetryInterval = std::chrono::milliseconds{ 25 };
 
 /** Timer of the requests that wait for memory. */
-constexpr std::uint64_t kWaitingKey = 3;
+constexpr std::uint64_t kWaitQueueTimerKey = 3;
 
 /** How urgent a request is at a replica, 0 to 9; 0 goes first. The account's
  * word goes before the route's. */
@@ -135,7 +135,7 @@
   void onTimer(std::uint64_t aKey);
   void regularWork();
   void refreshReplicas();
-  void publishLost();
+  void publishLostReplicas();
   void publishBusy();
 
   // RelayCallers.cpp: connections of callers.
@@ -148,7 +148,7 @@
   void sendToCaller(CallerConnection& aCaller, std::string_view aBytes);
   void flushCaller(CallerConnection& aCaller);
   void watchCaller(CallerConnection& aCaller);
-  void afterAnswer(CallerConnection& aCaller);
+  void onAnswerWritten(CallerConnection& aCaller);
   void onCallerTimer(CallerConnection& aCaller);
   void linger(CallerConnection& aCaller);
   void closeCaller(std::uint64_t aId);
@@ -343,7 +343,7 @@
   /** Requests in flight from here at plain replicas. */
   std::unordered_map<std::string, std::uint32_t> plainLoad;
   /** When each replica was last asked how it does. */
-  std::unordered_map<std::string, TimePoint> askedAt;
+  std::unordered_map<std::string, TimePoint> reportRequestedAt;
 
   std::shared_ptr<const ReplicaView> view;
   ReplicaHealth health;
@@ -356,9 +356,9 @@
   CrashLedger crashes;
   ServedContents servedContents;
   /** What was last taken over of the quarantine in the store. */
-  std::shared_ptr<const std::vector<Fingerprint>> quarantineRead;
+  std::shared_ptr<const std::vector<Fingerprint>> lastStoredQuarantine;
   /** When the present round of the line began. */
-  TimePoint roundAt{};
+  TimePoint roundStartedAt{};
   /** This life of this process, as it names itself to other relays. */
   std::uint64_t ownIncarnation;
   /** The latest word of another relay. */
@@ -366,13 +366,13 @@
   {
     PeerEcho echo;
     std::string zone;
-    TimePoint heard;
+    TimePoint receivedAt;
     bool polls = false;
     bool pollsFail = false;
   };
   std::map<Address, PeerState> knownPeers;
   /** Some relay knows its configuration to be the newest. */
-  TimePoint peerFreshAt{};
+  TimePoint peerProvedFreshAt{};
   LossReports reports;
   /** Replicas that leave, and since when this relay knows. */
   std::map<std::string, TimePoint> drainingSince;
@@ -381,12 +381,12 @@
   {
     /** Version of the teller's list. */
     std::uint64_t list;
-    TimePoint heard;
+    TimePoint receivedAt;
   };
   std::map<std::string, PeerDrainReport> peerDrainReports;
   /** Replicas whose endpoint has started again, and since when this relay
    * knows. */
-  std::map<std::string, TimePoint> ended;
+  std::map<std::string, TimePoint> restartedReplicas;
   TimePoint now{};
   TimePoint startedAt{};
   TimePoint regularAt{};
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -82,7 +82,7 @@
   for (const std::string& replica : this->health.named(this->now)) {
     status.lost.push_back(replica);
   }
-  for (const auto& [replica, since] : this->ended) {
+  for (const auto& [replica, since] : this->restartedReplicas) {
     status.lost.push_back(replica);
   }
   for (const std::string& replica : this->drainingReplicas()) {
@@ -172,7 +172,7 @@
 {
   std::vector<StoreReader> heard;
   for (const auto& [address, peer] : this->knownPeers) {
-    if (this->now - peer.heard < kReaderSilence) {
+    if (this->now - peer.receivedAt < kReaderSilence) {
       heard.push_back(
         StoreReader{ address, peer.zone, peer.polls, peer.pollsFail });
     }
@@ -254,7 +254,7 @@
 {
   if (aStatus.configAge >= 0 &&
       Duration{ aStatus.configAge } <= this->gate.keyAge) {
-    this->peerFreshAt = this->now;
+    this->peerProvedFreshAt = this->now;
   }
   const auto config = this->shared.config.read();
   const bool same = config != nullptr && config->version == aStatus.config;
@@ -337,7 +337,7 @@
                      { aStatus.unreachable.begin(), aStatus.unreachable.end() },
                      aStatus.slow };
   if (this->reports.onPeer(peer, std::move(report), this->now)) {
-    this->publishLost();
+    this->publishLostReplicas();
   }
 }
 
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -10,7 +10,7 @@
 void
 RelayLoop::Impl::onFaultyReplica(const std::string& aReplica)
 {
-  this->publishLost();
+  this->publishLostReplicas();
   for (const std::uint64_t id : this->requestsThrough(aReplica)) {
     const auto found = this->exchanges.find(id);
     if (found != this->exchanges.end()) {
@@ -156,7 +156,7 @@
       .with("outcome", static_cast<std::int64_t>(aOutcome)));
   if (aOutcome == RepathOutcome::Moved) {
     exchange.lastProgress = std::max(exchange.lastProgress, this->now);
-    exchange.asking = false;
+    exchange.overdue = false;
     this->armExchange(exchange);
     return;
   }
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -50,12 +50,12 @@
                                   : aExchange.path.firstToken +
                                       aExchange.path.perToken * kTokensPerEvent;
   if (this->throughLost(aExchange)) {
-    return aExchange.asking ? kMoveAgain
-                            : std::clamp(expected * kOverdueThroughLost,
-                                         kLeastThroughLost,
-                                         kMostPatience);
+    return aExchange.overdue ? kMoveAgain
+                             : std::clamp(expected * kOverdueThroughLost,
+                                          kLeastThroughLost,
+                                          kMostPatience);
   }
-  if (aExchange.asking) {
+  if (aExchange.overdue) {
     return kAskPause;
   }
   return std::clamp(expected * kOverdue, kLeastPatience, kMostPatience);
@@ -92,8 +92,8 @@
 RelayLoop::Impl::onOverdue(Exchange& aExchange)
 {
   const std::uint64_t id = aExchange.id;
-  aExchange.asking = true;
-  aExchange.askedAt = this->now;
+  aExchange.overdue = true;
+  aExchange.overdueHandledAt = this->now;
   if (this->throughLost(aExchange)) {
     this->repair(aExchange, false);
   } else {
@@ -109,11 +109,12 @@
 void
 RelayLoop::Impl::ask(const PathPart& aPart, Duration aPause)
 {
-  const auto asked = this->askedAt.find(aPart.replica);
-  if (asked != this->askedAt.end() && this->now - asked->second < aPause) {
+  const auto asked = this->reportRequestedAt.find(aPart.replica);
+  if (asked != this->reportRequestedAt.end() &&
+      this->now - asked->second < aPause) {
     return;
   }
-  this->askedAt[aPart.replica] = this->now;
+  this->reportRequestedAt[aPart.replica] = this->now;
   this->shared.metrics.count("replica_questions_total");
   this->calls.ask(
     aPart.address,
@@ -130,7 +131,8 @@
 {
   for (const auto& [id, exchange] : this->exchanges) {
     const auto& parts = exchange->path.parts;
-    if (!exchange->asking || parts.empty() || parts.front().replica != aFirst) {
+    if (!exchange->overdue || parts.empty() ||
+        parts.front().replica != aFirst) {
       continue;
     }
     for (const PathPart& part : parts) {
@@ -198,8 +200,8 @@
 bool
 RelayLoop::Impl::movesAt(const std::string& aReplica) const
 {
-  const auto asked = this->askedAt.find(aReplica);
-  return asked != this->askedAt.end() &&
+  const auto asked = this->reportRequestedAt.find(aReplica);
+  return asked != this->reportRequestedAt.end() &&
          std::any_of(this->exchanges.begin(),
                      this->exchanges.end(),
                      [&](const auto& aEntry) {
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -44,7 +44,7 @@
   if (aExchange.service == nullptr || !aExchange.service->engine) {
     return this->choose(aExchange);
   }
-  if (this->now - this->roundAt >= kWaitPause) {
+  if (this->now - this->roundStartedAt >= kWaitRetryInterval) {
     this->beginRound();
   }
   const Waiter waiter = this->waiterOf(aExchange);
@@ -64,7 +64,7 @@
 RelayLoop::Impl::beginRound()
 {
   this->waiting.beginRound();
-  this->roundAt = this->now;
+  this->roundStartedAt = this->now;
 }
 
 /** Tries those again that wait for memory. */
@@ -79,7 +79,7 @@
     }
   }
   if (!this->waiting.empty()) {
-    this->timers.arm(kWaitingKey, this->now + kWaitPause);
+    this->timers.arm(kWaitQueueTimerKey, this->now + kWaitRetryInterval);
   }
 }
 
