--- a/tests/unit/relay/AcceptLoop.h
+++ b/tests/unit/relay/AcceptLoop.h
@@ -54,7 +54,7 @@
 
 /** The value of a field in the head of a request. */
 inline std::string
-fieldIn(const std::string& aHead, const std::string& aName)
+headerValue(const std::string& aHead, const std::string& aName)
 {
   const std::string mark = aName + ": ";
   const std::size_t from = aHead.find(mark) + mark.size();
--- a/tests/unit/relay/RelayCrashTest.cpp
+++ b/tests/unit/relay/RelayCrashTest.cpp
@@ -41,7 +41,7 @@
     this->loop.start([this](RawSocket& aConnection) {
       const std::string head = aConnection.readUntil("\r\n\r\n");
       const std::scoped_lock lock{ this->guard };
-      this->ended.push_back(fieldIn(head, "X-Expect"));
+      this->ended.push_back(headerValue(head, "X-Expect"));
       ++this->runs;
     });
   }
@@ -74,8 +74,8 @@
 std::string
 callOnce(const RelayWorld& aWorld, int aNumber)
 {
-  RawSocket caller =
-    aWorld.callerOf("/again/x", "id-" + std::to_string(aNumber), "", "content");
+  RawSocket caller = aWorld.sendRequest(
+    "/again/x", "id-" + std::to_string(aNumber), "", "content");
   return caller.readUntil("}\n");
 }
 
@@ -133,7 +133,7 @@
   world.start();
   for (int i = 0; i < 2; ++i) {
     RawSocket caller =
-      world.callerOf("/again/x", "id-" + std::to_string(i), "", "content");
+      world.sendRequest("/again/x", "id-" + std::to_string(i), "", "content");
     for (int attempt = 0; attempt < 2; ++attempt) {
       RawSocket replica = listener.accept();
       replica.readUntil("content");
@@ -141,7 +141,7 @@
     EXPECT_TRUE(caller.readUntil("}\n").starts_with("HTTP/1.1 502 "));
     world.publishReplicas(static_cast<std::uint64_t>(i) + 2);
   }
-  RawSocket caller = world.callerOf("/again/x", "id-9", "", "content");
+  RawSocket caller = world.sendRequest("/again/x", "id-9", "", "content");
   RawSocket replica = listener.accept();
   replica.readUntil("content");
   replica.send(RelayWorld::answer("id-9", "whole"));
@@ -167,7 +167,7 @@
   EXPECT_TRUE(refused.starts_with("HTTP/1.1 503 ")) << refused;
   EXPECT_NE(refused.find("quarantined"), std::string::npos) << refused;
   EXPECT_EQ(world.shared.metrics.refusals(ErrorKind::Quarantined), 1U);
-  RawSocket caller = world.callerOf("/again/x", "id-2", "", "other");
+  RawSocket caller = world.sendRequest("/again/x", "id-2", "", "other");
   RawSocket replica = listener.accept();
   replica.readUntil("other");
   replica.send(RelayWorld::answer("id-2", "whole"));
@@ -197,7 +197,7 @@
   world.replicas["two"].draining = true;
   world.publishReplicas(2);
   // A request that comes now is admitted with the latest list.
-  RawSocket other = world.callerOf("/unknown/", "id-8");
+  RawSocket other = world.sendRequest("/unknown/", "id-8");
   EXPECT_NE(other.readUntil("}\n").find("404"), std::string::npos);
   for (int i = 0; i < 2; ++i) {
     replicas[static_cast<std::size_t>(i)].close();
@@ -206,7 +206,7 @@
   world.replicas.clear();
   world.addReplica("three", "plain", staying.address());
   world.publishReplicas(3);
-  RawSocket caller = world.callerOf("/again/x", "id-9", "", "content");
+  RawSocket caller = world.sendRequest("/again/x", "id-9", "", "content");
   RawSocket replica = staying.accept();
   replica.readUntil("content");
   replica.send(RelayWorld::answer("id-9", "whole"));
@@ -225,7 +225,7 @@
   world.addReplica("three", "plain", staying.address());
   world.replicas["three"].zone = "b";
   world.start();
-  RawSocket unlucky = world.callerOf("/again/x", "id-0", "", "content");
+  RawSocket unlucky = world.sendRequest("/again/x", "id-0", "", "content");
   for (int attempt = 0; attempt < 2; ++attempt) {
     RawSocket replica = crashing.accept();
     replica.readUntil("content");
@@ -233,7 +233,7 @@
   EXPECT_TRUE(unlucky.readUntil("}\n").starts_with("HTTP/1.1 502 "));
   for (int i = 1; i < 3; ++i) {
     const std::string id = "id-" + std::to_string(i);
-    RawSocket caller = world.callerOf("/again/x", id, "", "content");
+    RawSocket caller = world.sendRequest("/again/x", id, "", "content");
     RawSocket replica = staying.accept();
     replica.readUntil("content");
     replica.send(RelayWorld::answer(
--- a/tests/unit/relay/RelayLimitTest.cpp
+++ b/tests/unit/relay/RelayLimitTest.cpp
@@ -34,7 +34,7 @@
       const std::string head = aConnection.readUntil("\r\n\r\n");
       ++this->count;
       aConnection.send(RelayWorld::answer(
-        fieldIn(head, "X-Id"),
+        headerValue(head, "X-Id"),
         "{}\n",
         "200 OK",
         "X-Stamp: s\r\nConnection: close\r\nX-Limit: " + aLimit + "\r\n"));
@@ -54,7 +54,7 @@
 void
 callOnce(const RelayWorld& aWorld, int aNumber)
 {
-  RawSocket caller = aWorld.callerOf(
+  RawSocket caller = aWorld.sendRequest(
     "/again/x", "id-" + std::to_string(aNumber), "X-Deadline: 40\r\n");
   caller.readUntil("}\n");
 }
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -26,7 +26,7 @@
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/once/x?q=1", "id-1", "X-Account: forged\r\nX-Other: kept\r\n", "body");
   RawSocket replica = this->one.accept();
   const std::string got = replica.readUntil("body");
@@ -49,8 +49,8 @@
   // All relays died and start again. The caller's one return comes before this
   // one has read the configuration: it is served some ms later, not refused.
   this->world.addReplica("one", "plain", this->one.address());
-  this->world.startBlind();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  this->world.startLoop();
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   this->world.publishConfig();
   this->world.publishReplicas(1);
   RawSocket replica = this->one.accept();
@@ -66,7 +66,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 60 });
   RawSocket caller =
-    this->world.callerOf("/once/x", "id-1", "X-Deadline: 9000\r\n");
+    this->world.sendRequest("/once/x", "id-1", "X-Deadline: 9000\r\n");
   const std::string answer = caller.readUntil("\r\n\r\n");
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 "));
   const std::size_t at = answer.find("Retry-After: ");
@@ -82,7 +82,7 @@
   // this one is due. The caller must get its own answer and nothing else.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-2");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-2");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::answer("id-1", "other") +
@@ -97,7 +97,7 @@
   // it goes out on a new connection.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/again/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/again/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::answer("id-1", "own") +
@@ -118,7 +118,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.close();
@@ -130,7 +130,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/again/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/again/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.close();
@@ -145,7 +145,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::answer(
@@ -160,7 +160,7 @@
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::answer("id-1", "spoiled", "200 OK", ""));
@@ -175,7 +175,7 @@
   // caller must not take what has come for the whole.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send("HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s\r\n"
@@ -188,7 +188,7 @@
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send("HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s\r\n\r\nwhole");
@@ -204,7 +204,7 @@
   this->world.addReplica("two", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket first = this->one.accept();
   const std::string request = first.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(request, "X-Path: "));
@@ -228,10 +228,10 @@
   // nothing of it is lost.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/stream/x",
-                                          "id-1",
-                                          "X-Tokens: 5,50000\r\n"
-                                          "X-Hint: 50000\r\n");
+  RawSocket caller = this->world.sendRequest("/stream/x",
+                                             "id-1",
+                                             "X-Tokens: 5,50000\r\n"
+                                             "X-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -256,7 +256,7 @@
   this->world.replicas["one"].layers = LayerRange{ 0, 5 };
   this->world.replicas["two"].layers = LayerRange{ 5, 10 };
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/stream/x", "id-1", "X-Tokens: 5,50000\r\nX-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
@@ -285,7 +285,7 @@
   this->world.retrySlack = 0;
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/stream/x", "id-1", "X-Tokens: 5,50000\r\nX-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
@@ -313,7 +313,7 @@
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -335,7 +335,7 @@
   // known, and the new start is not sent it.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   this->world.restartReplica("one");
@@ -350,7 +350,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.restartReplica("one");
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: one\r\n"));
 }
@@ -361,7 +361,7 @@
   this->world.config->routes["shop.example"][2].resumable = false;
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -375,7 +375,7 @@
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   caller.close();
@@ -394,9 +394,9 @@
     goesOn.get_future().wait();
   });
   behind.get_future().wait();
-  this->world.callerOf("/once/x", "id-1").close();
+  this->world.sendRequest("/once/x", "id-1").close();
   goesOn.set_value();
-  RawSocket caller = this->world.callerOf("/once/x", "id-2");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-2");
   RawSocket replica = this->one.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Id: id-2\r\n"));
 }
@@ -430,7 +430,7 @@
   // may live. The caller is told to come back, not that its key is wrong.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 10 });
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   const std::string answer = caller.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(answer, "503 Service Unavailable"));
   EXPECT_TRUE(has(answer, "Retry-After: "));
@@ -440,14 +440,14 @@
 {
   this->world.start();
   this->world.shared.config.replace(nullptr);
-  RawSocket caller = this->world.callerOf("/unknown/", "id-1");
+  RawSocket caller = this->world.sendRequest("/unknown/", "id-1");
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "503 Service Unavailable"));
 }
 
 TEST_F(RelayLoopTest, DeniesWhatTheConfigurationDoesNotAllow)
 {
   this->world.start();
-  RawSocket caller = this->world.callerOf("/unknown/", "id-1");
+  RawSocket caller = this->world.sendRequest("/unknown/", "id-1");
   EXPECT_TRUE(has(caller.readUntil("}\n"), "404 Not Found"));
   caller.send("GET /once/ HTTP/1.1\r\nHost: shop.example\r\nX-Id: id-2\r\n"
               "X-Key: wrong\r\n\r\n");
@@ -472,10 +472,10 @@
   this->world.config->limits.headerBytes = 1'024;
   this->world.config->limits.bodyBytes = 8;
   this->world.start();
-  RawSocket large = this->world.callerOf(
+  RawSocket large = this->world.sendRequest(
     "/once/", "id-1", "X-Long: " + std::string(4'000, 'h') + "\r\n");
   EXPECT_TRUE(has(large.readToEnd(), "431 "));
-  RawSocket body = this->world.callerOf("/once/", "id-1", "", "123456789");
+  RawSocket body = this->world.sendRequest("/once/", "id-1", "", "123456789");
   EXPECT_TRUE(has(body.readToEnd(), "413 "));
   RawSocket nonsense = this->world.caller();
   nonsense.send("nonsense\r\n\r\n");
@@ -517,7 +517,7 @@
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/once/x", "id-1", "X-Deadline: 60\r\n");
+    this->world.sendRequest("/once/x", "id-1", "X-Deadline: 60\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "504 Gateway Timeout"));
@@ -549,7 +549,7 @@
     std::this_thread::yield();
   }
   ASSERT_EQ(behind.shared.peerListVersion, 7U);
-  RawSocket caller = behind.callerOf("/once/x", "id-1");
+  RawSocket caller = behind.sendRequest("/once/x", "id-1");
   RawSocket replica = staying.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
 }
--- a/tests/unit/relay/RelayWorld.h
+++ b/tests/unit/relay/RelayWorld.h
@@ -97,7 +97,7 @@
   {
     this->publishConfig(aProofAge);
     this->publishReplicas(1);
-    this->startBlind();
+    this->startLoop();
   }
   void publishConfig(Duration aProofAge = Duration{ 0 })
   {
@@ -106,7 +106,7 @@
     this->shared.freshness.prove(this->shared.clock.now() - aProofAge);
   }
   /** Starts the relay with what has been published. */
-  void startBlind()
+  void startLoop()
   {
     RelaySettings settings;
     settings.name = "relay-1";
@@ -153,10 +153,10 @@
   }
 
   /** A caller on a connection of its own that has sent a request. */
-  [[nodiscard]] RawSocket callerOf(const std::string& aPath,
-                                   const std::string& aId,
-                                   const std::string& aMore = {},
-                                   const std::string& aBody = {}) const
+  [[nodiscard]] RawSocket sendRequest(const std::string& aPath,
+                                      const std::string& aId,
+                                      const std::string& aMore = {},
+                                      const std::string& aBody = {}) const
   {
     RawSocket caller = this->caller();
     caller.send(request(aPath, aId, aMore, aBody));
