--- a/include/poplartrack/relay/EventSplitter.h
+++ b/include/poplartrack/relay/EventSplitter.h
@@ -8,29 +8,32 @@
 
 namespace poplartrack {
 
-/** One whole event of a stream, with its bytes as they came. */
+/** One complete event of a server-sent event stream. */
 struct StreamEvent
 {
+  /** The event as received, including the empty line that ends it. */
   std::string bytes;
-  /** Value of its id line, when that is a number. */
+  /** Value of the "id:" line, if it is a number. */
   std::optional<std::uint64_t> id;
 };
 
 /**
- * Cuts an event stream into whole events. Only whole ones are passed on: a
- * replica may stop in the middle of one, and a stream that goes on at another
- * replica then begins with the whole event again.
+ * Splits a byte stream into complete events. Only complete events are
+ * forwarded: a replica may crash in the middle of one, and when the stream
+ * resumes at another replica, that event is sent again from its start.
  */
 class EventSplitter
 {
 public:
-  /** The events that are complete with these bytes. */
+  /** Appends bytes and returns the events that are now complete. */
   std::vector<StreamEvent> feed(std::string_view aBytes);
-  /** Whether part of an event is waiting for its end. */
-  [[nodiscard]] bool inside() const { return !this->pending.empty(); }
+  /** Whether an incomplete event is buffered. */
+  [[nodiscard]] bool hasPartialEvent() const { return !this->pending.empty(); }
+  /** Discards an incomplete event. */
   void reset() { this->pending.clear(); }
 
 private:
+  /** Bytes of the incomplete event. */
   std::string pending;
 };
 
--- a/include/poplartrack/relay/HeaderList.h
+++ b/include/poplartrack/relay/HeaderList.h
@@ -8,8 +8,8 @@
 
 namespace poplartrack {
 
-/** Header fields of one message in their order; names compare without regard
- * to case. */
+/** Header fields of one HTTP message, in the order received. Names compare
+ * case-insensitively. */
 class HeaderList
 {
 public:
@@ -20,12 +20,13 @@
     this->fields.emplace_back(std::move(aName), std::move(aValue));
   }
   void clear() { this->fields.clear(); }
-  /** The first field of this name. */
+  /** Returns the value of the first field with this name. */
   [[nodiscard]] std::optional<std::string_view> find(
     std::string_view aName) const;
-  /** How many fields have this name. */
+  /** Returns the number of fields with this name. */
   [[nodiscard]] std::size_t count(std::string_view aName) const;
-  /** Whether the field's comma-separated values hold this word. */
+  /** Whether the comma-separated list in a field with this name contains the
+   * token, compared case-insensitively. */
   [[nodiscard]] bool hasToken(std::string_view aName,
                               std::string_view aToken) const;
   [[nodiscard]] const std::vector<Field>& all() const { return this->fields; }
@@ -34,11 +35,12 @@
   std::vector<Field> fields;
 };
 
-/** Whether two header names or tokens are the same but for case. */
+/** Compares two header names or tokens case-insensitively. */
 bool
 sameToken(std::string_view aLeft, std::string_view aRight);
 
-/** Whether a field concerns only one connection and is never forwarded. */
+/** Whether a field is hop-by-hop: it applies to one connection only and is not
+ * forwarded. That includes the names listed in the Connection field. */
 bool
 isHopByHop(const HeaderList& aHeaders, std::string_view aName);
 
--- a/include/poplartrack/relay/RelayLoop.h
+++ b/include/poplartrack/relay/RelayLoop.h
@@ -12,31 +12,33 @@
 namespace poplartrack {
 
 /**
- * The thread that forwards requests: callers' connections, connections to
- * replicas and the datagrams between relays, on one epoll instance. Decisions
- * are made by RequestGate, PathFinder, ReplicaHealth, LoadTracker and
- * RetryBudget; here they meet sockets.
+ * The thread that forwards requests. One epoll instance handles the
+ * connections of callers, the connections to replicas and the datagrams between
+ * relays. RequestGate, PathFinder, ReplicaHealth, LoadTracker and RetryBudget
+ * make the decisions; the loop carries them out on its sockets.
  */
 class RelayLoop
 {
 public:
-  /** Listens at once; Network names an address that cannot be had. */
+  /** Binds the sockets and starts the thread. Fails with ErrorKind::Network,
+   * naming the address, if an address cannot be bound. */
   static Result<std::unique_ptr<RelayLoop>> create(RelaySettings aSettings,
                                                    RelayHeaderNames aNames,
                                                    RelayShared& aShared,
                                                    ReplicaCalls aCalls);
   RelayLoop(const RelayLoop&) = delete;
   RelayLoop& operator=(const RelayLoop&) = delete;
-  /** Ends the thread; open connections are closed. */
+  /** Stops the thread and closes all open connections. */
   ~RelayLoop();
 
-  /** Where callers connect. */
+  /** Address on which callers connect. */
   [[nodiscard]] Address callersAddress() const;
-  /** Where other relays send their datagrams. */
+  /** Address to which other relays send their datagrams. */
   [[nodiscard]] Address peersAddress() const;
-  /** Runs aWork on the loop's thread; from any thread. */
+  /** Runs aWork on the loop's thread. May be called from any thread. */
   void post(std::function<void()> aWork);
-  /** Requests whose answers are not whole yet. */
+  /** Number of requests whose answers are not complete yet. May be called from
+   * any thread. */
   [[nodiscard]] std::size_t openRequests() const;
 
 private:
--- a/src/relay/CallerConnection.h
+++ b/src/relay/CallerConnection.h
@@ -10,31 +10,36 @@
 
 namespace poplartrack {
 
-/** One connection of a caller. It carries one request at a time. */
+/** A connection from a caller. It carries one request at a time. */
 struct CallerConnection
 {
   std::uint64_t id = 0;
   OwnedFd fd;
-  /** Bytes that were read and not yet parsed. */
-  std::string in;
-  /** Bytes that the socket has not taken yet. */
-  std::string out;
+  /** Bytes received but not parsed yet. */
+  std::string input;
+  /** Bytes not yet written to the socket. */
+  std::string output;
   std::unique_ptr<RequestParser> parser;
-  /** The request that is being answered; 0: none. */
+  /** Id of the request that is being answered; 0 if none. */
   std::uint64_t exchange = 0;
-  /** Since when it has been idle, or its present request has been arriving. */
-  TimePoint since{};
-  /** Bytes of a request have come that is not whole yet. */
-  bool arriving = false;
+  /** When the connection became idle, or when the first byte of the current
+   * request was received. */
+  TimePoint stateSince{};
+  /** Part of a request has been received. */
+  bool receivingRequest = false;
+  /** "100 Continue" has been sent for the current request. */
   bool continueSent = false;
+  /** The poller reports when the socket is writable. */
   bool watchesWrite = false;
+  /** The poller does not report readable bytes: too many are buffered. */
   bool readPaused = false;
-  /** The present answer says that the connection closes after it. */
+  /** The connection closes after the current answer, as its head says. */
   bool closeWhenAnswered = false;
-  /** All that is written yet is the end: the connection closes after it. */
+  /** The connection closes once all of output is written. */
   bool closeAfterOut = false;
-  /** Everything is answered; bytes are read and dropped until the caller
-   * closes, or else the close would reset the answer on its way. */
+  /** The last answer is written and the write side is shut down. Received bytes
+   * are discarded until the caller closes: closing with unread bytes would
+   * reset the connection and could lose the answer in transit. */
   bool lingering = false;
 };
 
--- a/src/relay/EventSplitter.cpp
+++ b/src/relay/EventSplitter.cpp
@@ -5,8 +5,9 @@
 namespace poplartrack {
 namespace {
 
+/** Returns the value of the first "id:" line that begins with a number. */
 std::optional<std::uint64_t>
-idOf(std::string_view aEvent)
+eventId(std::string_view aEvent)
 {
   constexpr std::string_view kId = "id:";
   std::size_t at = 0;
@@ -41,17 +42,17 @@
   this->pending.append(aBytes);
   std::size_t start = 0;
   while (true) {
-    // An empty line ends an event, with either kind of line end.
-    const std::size_t plain = this->pending.find("\n\n", start);
-    const std::size_t windows = this->pending.find("\n\r\n", start);
-    if (plain == std::string::npos && windows == std::string::npos) {
+    // An empty line ends an event. Lines may end with LF or CRLF.
+    const std::size_t lfEnd = this->pending.find("\n\n", start);
+    const std::size_t crlfEnd = this->pending.find("\n\r\n", start);
+    if (lfEnd == std::string::npos && crlfEnd == std::string::npos) {
       break;
     }
     const std::size_t end =
-      plain < windows || windows == std::string::npos ? plain + 2 : windows + 3;
+      lfEnd < crlfEnd || crlfEnd == std::string::npos ? lfEnd + 2 : crlfEnd + 3;
     StreamEvent event;
     event.bytes = this->pending.substr(start, end - start);
-    event.id = idOf(event.bytes);
+    event.id = eventId(event.bytes);
     events.push_back(std::move(event));
     start = end;
   }
--- a/src/relay/Exchange.h
+++ b/src/relay/Exchange.h
@@ -15,78 +15,98 @@
 
 namespace poplartrack {
 
-/** Tokens that a request names, and what it is expected to need. */
+/** Number of prompt tokens and expected number of answer tokens. */
 struct TokenNeed
 {
   double prompt = 0;
   double answer = 0;
 };
 
-/** One request of a caller, from its last byte to the end of its answer. */
+/** A request of a caller, from its last received byte to the end of its
+ * answer. It may take several attempts at replicas. */
 struct Exchange
 {
   std::uint64_t id = 0;
+  /** Id of the CallerConnection. */
   std::uint64_t caller = 0;
   MessageHead head;
   std::string body;
   std::string requestId;
-  /** What it asks for, once somebody wanted to know; see contentOf. */
+  /** Fingerprint of the content, computed when first needed; see contentOf. */
   std::optional<Fingerprint> content;
-  /** Keeps route and account alive. */
+  /** The configuration that admitted the request. It owns route, account and
+   * service. */
   std::shared_ptr<const RelayConfig> config;
   const RelayRoute* route = nullptr;
   const RelayAccount* account = nullptr;
-  /** Sent only while the configuration is known to be fresh. */
+  /** The request needs an API key: it is sent only while the configuration is
+   * known to be fresh. */
   bool keyed = false;
   const RelayService* service = nullptr;
   TimePoint arrived{};
-  /** How long the caller will wait, from its arrival, if it says so. */
+  /** How long the caller waits after arrived, if the request says so. */
   std::optional<Duration> deadline;
-  /** The caller's deadline or the route's timeout, whichever is first. */
+  /** The caller's deadline or the route's timeout, whichever is earlier. */
   TimePoint giveUpAt{};
   TokenNeed need;
 
-  /** Connection of the present attempt; 0: none. */
+  /** Id of the connection of the current attempt; 0 if none. */
   std::uint64_t connection = 0;
+  /** Id of the replica that the current attempt was sent to. */
   std::string replica;
+  /** Replicas that run the current attempt; empty for plain services. */
   LayerPath path;
+  /** Tokens for which the load tracker reserves memory along the path. */
   double reservedTokens = 0;
+  /** The current attempt is counted in the load of its replicas. */
   bool loadRecorded = false;
-  /** Its prompt is booked as being read. */
+  /** The load tracker counts its prompt as being in prefill. */
   bool prefillRecorded = false;
-  /** Replicas that may have run it, without the present attempt. */
+  /** Number of earlier attempts that may have run. While it is 0, the current
+   * attempt is the only one that can have run. */
   int runs = 0;
-  /** Attempts sent, also those that were refused. */
+  /** Number of attempts sent, including those that replicas refused. */
   int sends = 0;
-  /** Replicas that refused or failed it already. */
+  /** Replicas that refused this request or failed under it. */
   std::set<std::string> avoid;
   TimePoint sentAt{};
-  /** When the first event of the present attempt came. */
+  /** When the first event of the current attempt was received. */
   std::optional<TimePoint> runningSince;
-  /** Its next attempt is a retry that the budget has not paid for yet. */
+  /** The next attempt is a retry that is not charged to the retry budget yet.
+   */
   bool needsRetryBudget = false;
-  /** Waits for a path or for the retry budget since then. */
+  /** Since when it has been waiting for a path or for the retry budget. */
   std::optional<TimePoint> waitingSince;
 
-  /** Requests a second to which the present attempt's replica limits all
-   * relays, as its answer says. */
+  /** Rate limit of the replica of the current attempt, in requests a second
+   * from all relays together, as its answer reports it. */
   std::optional<double> reportedLimit;
 
-  /** The head of the answer went to the caller. */
+  /** The head of the answer has been sent to the caller. */
   bool answering = false;
+  /** The answer is an event stream. */
   bool streaming = false;
   EventSplitter splitter;
-  /** Last event that went to the caller. */
+  /** Id of the last event that the caller has, from this stream or, for a
+   * resumed one, as the request says. */
   std::optional<std::uint64_t> lastEvent;
+  /** Number of events sent to the caller. */
   std::uint32_t events = 0;
+  /** When the attempt was sent, moved to another path or last sent an event. */
   TimePoint lastProgress{};
+  /** Longest time between two events. */
   Duration longestPause{ 0 };
-  /** Progress is overdue and the cause is being asked for. */
+  /** No progress for longer than the stall timeout; the cause is being looked
+   * for, or a move to another path has been ordered. */
   bool overdue = false;
+  /** When the overdue request was last handled; see onOverdue. */
   TimePoint overdueHandledAt{};
+  /** Number of orders to move the request to another path. */
   std::uint32_t repairs = 0;
-  /** When it was last ordered onto another path; until it moves again. */
+  /** When the last move to another path was ordered; reset by the next
+   * event. */
   std::optional<TimePoint> repairedAt;
+  /** Time from arrival to the first event. */
   Duration firstEvent{ 0 };
 };
 
--- a/src/relay/HeaderList.cpp
+++ b/src/relay/HeaderList.cpp
@@ -7,6 +7,7 @@
 namespace poplartrack {
 namespace {
 
+/** Fields that are hop-by-hop in every message. */
 constexpr std::array<std::string_view, 9> kHopByHop{
   "connection", "keep-alive",        "proxy-authenticate",
   "te",         "transfer-encoding", "proxy-authorization",
@@ -14,7 +15,7 @@
 };
 
 char
-lower(char aLetter)
+toLower(char aLetter)
 {
   return aLetter >= 'A' && aLetter <= 'Z'
            ? static_cast<char>(aLetter - 'A' + 'a')
@@ -42,11 +43,12 @@
 sameToken(std::string_view aLeft, std::string_view aRight)
 {
   return aLeft.size() == aRight.size() &&
-         std::equal(
-           aLeft.begin(),
-           aLeft.end(),
-           aRight.begin(),
-           [](char aOne, char aOther) { return lower(aOne) == lower(aOther); });
+         std::equal(aLeft.begin(),
+                    aLeft.end(),
+                    aRight.begin(),
+                    [](char aOne, char aOther) {
+                      return toLower(aOne) == toLower(aOther);
+                    });
 }
 
 std::optional<std::string_view>
@@ -92,11 +94,11 @@
 bool
 isHopByHop(const HeaderList& aHeaders, std::string_view aName)
 {
-  const bool standing =
+  const bool alwaysHopByHop =
     std::any_of(kHopByHop.begin(), kHopByHop.end(), [&](std::string_view aHop) {
       return sameToken(aHop, aName);
     });
-  return standing || aHeaders.hasToken("connection", aName);
+  return alwaysHopByHop || aHeaders.hasToken("connection", aName);
 }
 
 } // namespace poplartrack
--- a/src/relay/MessageParser.h
+++ b/src/relay/MessageParser.h
@@ -13,7 +13,7 @@
 
 namespace poplartrack {
 
-/** Why a message could not be read. */
+/** Why a message could not be parsed. */
 enum class ParseProblem : std::uint8_t
 {
   None,
@@ -22,25 +22,25 @@
   BodyTooLarge,
 };
 
-/** What the first line and the headers of a message said. */
+/** The start line and the header fields of a message. */
 struct MessageHead
 {
-  /** Requests only. */
+  /** Set for requests only. */
   std::string method;
   std::string target;
-  /** Responses only. */
+  /** Set for responses only. */
   int status = 0;
   std::string reason;
-  /** 10 or 11. */
+  /** HTTP version: 10 for HTTP/1.0, 11 for HTTP/1.1. */
   int version = 0;
   HeaderList headers;
 };
 
 /**
- * Reads one HTTP/1.1 message from bytes as they come, through Boost.Beast's
- * parser: it is the only reader of bytes from callers and replicas. It refuses
- * a length beside chunks, and lengths that differ, with which a second request
- * could be hidden in a body.
+ * Incremental parser of one HTTP/1.1 message, based on Boost.Beast. All bytes
+ * from callers and replicas pass through it. It rejects a message that has both
+ * Content-Length and chunked encoding, or differing Content-Length fields:
+ * either could hide a second request in the body (request smuggling).
  */
 template<bool kIsRequest>
 class MessageParser : public boost::beast::http::basic_parser<kIsRequest>
@@ -49,27 +49,32 @@
   using ErrorCode = boost::beast::error_code;
   using Text = boost::beast::string_view;
 
-  /** A limit of 0 on the body: none. */
+  /** Limits are in bytes; a body limit of 0 means no limit. */
   MessageParser(std::size_t aHeadLimit, std::uint64_t aBodyLimit)
   {
     this->eager(true);
     this->header_limit(static_cast<std::uint32_t>(aHeadLimit));
-    // Without a limit Beast 1.74 refuses every body that names its length: it
-    // compares the length with an empty optional, which is less than any.
+    // With boost::none as the limit, Beast 1.74 rejects every body that has a
+    // Content-Length: an empty optional compares less than any length.
     this->body_limit(aBodyLimit == 0 ? std::numeric_limits<std::uint64_t>::max()
                                      : aBodyLimit);
   }
 
-  /** Reads what it can of aBytes; gives how many were taken. */
+  /** Parses aBytes up to the end of the message or an error. Returns the number
+   * of bytes consumed. */
   std::size_t feed(std::string_view aBytes);
-  /** The connection has ended; some bodies end with it. */
+  /** Signals the end of the connection, which ends a body without a length. */
   void feedEnd();
 
-  [[nodiscard]] ParseProblem problem() const { return this->failure; }
-  [[nodiscard]] const MessageHead& head() const { return this->message; }
-  /** Body bytes that were read since the last call. */
-  std::string takeBody() { return std::exchange(this->body, {}); }
-  [[nodiscard]] const std::string& unread() const { return this->body; }
+  [[nodiscard]] ParseProblem problem() const { return this->parseProblem; }
+  [[nodiscard]] const MessageHead& head() const { return this->parsedHead; }
+  /** Returns and clears the body bytes parsed since the last call. */
+  std::string takeBody() { return std::exchange(this->bodyBytes, {}); }
+  /** Body bytes that takeBody() would return. */
+  [[nodiscard]] const std::string& unreadBody() const
+  {
+    return this->bodyBytes;
+  }
 
 private:
   void on_request_impl(boost::beast::http::verb,
@@ -78,69 +83,71 @@
                        int aVersion,
                        ErrorCode&) override
   {
-    this->message.method.assign(aMethod.data(), aMethod.size());
-    this->message.target.assign(aTarget.data(), aTarget.size());
-    this->message.version = aVersion;
+    this->parsedHead.method.assign(aMethod.data(), aMethod.size());
+    this->parsedHead.target.assign(aTarget.data(), aTarget.size());
+    this->parsedHead.version = aVersion;
   }
   void on_response_impl(int aStatus,
                         Text aReason,
                         int aVersion,
                         ErrorCode&) override
   {
-    this->message.status = aStatus;
-    this->message.reason.assign(aReason.data(), aReason.size());
-    this->message.version = aVersion;
+    this->parsedHead.status = aStatus;
+    this->parsedHead.reason.assign(aReason.data(), aReason.size());
+    this->parsedHead.version = aVersion;
   }
   void on_field_impl(boost::beast::http::field,
                      Text aName,
                      Text aValue,
                      ErrorCode&) override
   {
-    if (!this->headed) {
-      this->message.headers.add(std::string{ aName.data(), aName.size() },
-                                std::string{ aValue.data(), aValue.size() });
+    if (!this->headerDone) {
+      this->parsedHead.headers.add(std::string{ aName.data(), aName.size() },
+                                   std::string{ aValue.data(), aValue.size() });
     }
   }
-  void on_header_impl(ErrorCode&) override { this->headed = true; }
+  void on_header_impl(ErrorCode&) override { this->headerDone = true; }
   void on_body_init_impl(const boost::optional<std::uint64_t>&,
                          ErrorCode&) override
   {
   }
   std::size_t on_body_impl(Text aBody, ErrorCode&) override
   {
-    this->body.append(aBody.data(), aBody.size());
+    this->bodyBytes.append(aBody.data(), aBody.size());
     return aBody.size();
   }
   void on_chunk_header_impl(std::uint64_t, Text, ErrorCode&) override {}
   std::size_t on_chunk_body_impl(std::uint64_t, Text aBody, ErrorCode&) override
   {
-    this->body.append(aBody.data(), aBody.size());
+    this->bodyBytes.append(aBody.data(), aBody.size());
     return aBody.size();
   }
   void on_finish_impl(ErrorCode&) override {}
 
-  void note(const ErrorCode& aError);
+  /** Sets parseProblem unless the parser only needs more bytes. */
+  void recordError(const ErrorCode& aError);
 
-  MessageHead message;
-  std::string body;
-  bool headed = false;
-  ParseProblem failure = ParseProblem::None;
+  MessageHead parsedHead;
+  std::string bodyBytes;
+  /** The header is complete; later fields are trailers and are dropped. */
+  bool headerDone = false;
+  ParseProblem parseProblem = ParseProblem::None;
 };
 
 template<bool kIsRequest>
 void
-MessageParser<kIsRequest>::note(const ErrorCode& aError)
+MessageParser<kIsRequest>::recordError(const ErrorCode& aError)
 {
   namespace http = boost::beast::http;
   if (!aError || aError == http::error::need_more) {
     return;
   }
   if (aError == http::error::header_limit) {
-    this->failure = ParseProblem::HeadTooLarge;
+    this->parseProblem = ParseProblem::HeadTooLarge;
   } else if (aError == http::error::body_limit) {
-    this->failure = ParseProblem::BodyTooLarge;
+    this->parseProblem = ParseProblem::BodyTooLarge;
   } else {
-    this->failure = ParseProblem::Malformed;
+    this->parseProblem = ParseProblem::Malformed;
   }
 }
 
@@ -150,12 +157,12 @@
 {
   std::size_t taken = 0;
   while (taken < aBytes.size() && !this->is_done() &&
-         this->failure == ParseProblem::None) {
+         this->parseProblem == ParseProblem::None) {
     ErrorCode error;
     const std::size_t read = this->put(
       boost::asio::buffer(aBytes.data() + taken, aBytes.size() - taken), error);
     taken += read;
-    this->note(error);
+    this->recordError(error);
     if (error || read == 0) {
       break;
     }
@@ -170,7 +177,7 @@
   ErrorCode error;
   this->put_eof(error);
   if (error) {
-    this->failure = ParseProblem::Malformed;
+    this->parseProblem = ParseProblem::Malformed;
   }
 }
 
--- a/src/relay/PeerStatus.h
+++ b/src/relay/PeerStatus.h
@@ -11,10 +11,10 @@
 
 namespace poplartrack {
 
-/** Version of the datagrams below; another one is ignored. */
-constexpr std::uint32_t kPeerFormat = 12;
+/** Format version of PeerStatus; datagrams of other versions are ignored. */
+constexpr std::uint32_t kPeerStatusFormat = 12;
 
-/** One replica's load in a datagram. */
+/** The sender's own work in flight at one replica; see ReplicaLoad. */
 struct LoadRow
 {
   std::string replica;
@@ -25,16 +25,18 @@
   MSGPACK_DEFINE(replica, requests, tokenLayers, prefillTokens, pathStarts);
 };
 
-/** What the sender has sent between two availability zones, in kB. */
+/** Kilobytes that the sender has sent between two availability zones since its
+ * start. */
 struct LinkRow
 {
-  std::string one;
-  std::string other;
+  std::string firstZone;
+  std::string secondZone;
   std::uint64_t kilobytes = 0;
-  MSGPACK_DEFINE(one, other, kilobytes);
+  MSGPACK_DEFINE(firstZone, secondZone, kilobytes);
 };
 
-/** What the sender counted for a service's retry budget. */
+/** The sender's own counts for the retry budget of a service, over the window
+ * of the budget. */
 struct RetryRow
 {
   std::string service;
@@ -43,93 +45,104 @@
   MSGPACK_DEFINE(service, requests, retries);
 };
 
-/** A replica that ended under a request. */
+/** A replica crashed while it ran a request. */
 struct CrashRow
 {
   Fingerprint request;
   std::string replica;
+  /** The replica had not begun to run the request, or only just. */
   bool early = false;
   MSGPACK_DEFINE(request, replica, early);
 };
 
-/** A request that is sent to no replica. */
+/** A quarantined request: relays send it to no replica. */
 struct QuarantineRow
 {
   Fingerprint request;
-  /** How long it has been so, in microseconds. */
+  /** How long it has been quarantined, in microseconds. */
   std::int64_t age = 0;
   MSGPACK_DEFINE(request, age);
 };
 
-/** What a replica's latest answer to the sender said of its limit. */
+/** The rate limit that a replica's latest answer to the sender reported. */
 struct LimitRow
 {
   std::string replica;
-  /** Requests a second from all relays; negative: it limits them no more. */
+  /** Requests a second from all relays together; negative: no limit any
+   * more. */
   double perSecond = -1;
-  /** How long ago, in microseconds. */
+  /** Age of that answer, in microseconds. */
   std::int64_t age = 0;
   MSGPACK_DEFINE(replica, perSecond, age);
 };
 
-/** The latest word of the addressed relay that the sender has. It follows the
- * word in the datagram: all else is the same for everybody. With the echoes for
- * all in each word, words would grow with the relays. */
+/** Identifies the latest status message that the sender has received from the
+ * addressee. It follows the PeerStatus in the datagram. The PeerStatus is the
+ * same for every addressee; if it held the echoes for all of them, its size
+ * would grow with the number of relays. */
 struct PeerEcho
 {
-  /** The addressed relay's life; 0: not heard yet. */
+  /** The addressee's incarnation; 0 if it is not a known peer yet. */
   std::uint64_t incarnation = 0;
-  /** When it sent that word, on its own clock, in microseconds. */
+  /** When the addressee sent that message, on the addressee's clock, in
+   * microseconds. */
   std::int64_t sentAt = 0;
   MSGPACK_DEFINE(incarnation, sentAt);
 };
 
-/** What a relay tells the others. */
+/** The status message that each relay sends to every other. */
 struct PeerStatus
 {
-  std::uint32_t format = kPeerFormat;
-  /** Names one life of the sender's process: a machine that takes over its
-   * address has another clock. */
+  std::uint32_t format = kPeerStatusFormat;
+  /** Random number of this incarnation of the sender's process. An instance
+   * that takes over its address has another clock. */
   std::uint64_t incarnation = 0;
   /** The sender's availability zone. */
   std::string zone;
+  /** The sender's work in flight, by replica. */
   std::vector<LoadRow> loads;
-  /** Replicas that another replica named as what its work waits for. */
+  /** Replicas that are certainly lost: another replica reported that its work
+   * is blocked on them, or their endpoint has restarted. */
   std::vector<std::string> lost;
-  /** Replicas that leave or have left, as the sender's list says. */
+  /** Replicas that are draining or were removed lately, according to the
+   * sender's list. */
   std::vector<std::string> draining;
-  /** Replicas that the sender itself cannot reach. */
+  /** Replicas that the sender cannot reach. The sender may be the one that is
+   * cut off. */
   std::vector<std::string> unreachable;
-  /** Replicas that are slow, with how slow. */
+  /** Degraded replicas with their slowdown: how many times longer than declared
+   * their work takes. */
   std::map<std::string, double> slow;
-  /** When it was sent, on the sender's clock, in microseconds. */
+  /** When the message was sent, on the sender's clock, in microseconds. */
   std::int64_t sentAt = 0;
+  /** Version of the sender's configuration; 0 if it has none. */
   std::uint64_t config = 0;
-  /** How long ago the sender's configuration was known to be the newest, in
-   * microseconds; negative: never. */
+  /** Age of the sender's proof that its configuration is the newest, in
+   * microseconds; negative if it never had one. */
   std::int64_t configAge = -1;
-  /** Latest change of the replicas' list that the sender has. */
+  /** Version of the latest change in the sender's replica list. */
   std::uint64_t list = 0;
-  /** The sender looks at the store, and whether its latest look failed. */
+  /** The sender is a store reader. */
   bool polls = false;
+  /** The latest poll of the sender failed. */
   bool pollsFail = false;
   /** The sender holds the placement lease. */
   bool holdsLease = false;
-  /** What it counted over the window of the retry budgets. */
+  /** Counts for the retry budgets, by service. */
   std::vector<RetryRow> retries;
-  /** What it sent between zones since its start. */
+  /** Bytes sent over zone links since the start of the sender. */
   std::vector<LinkRow> links;
-  /** Fencing number of the placement lease that it held and gave up; 0: none.
-   */
+  /** Fencing token of the placement lease that the sender held and released; 0
+   * if none. */
   std::uint64_t releasedFence = 0;
-  /** Replicas that ended under requests lately, as far as the sender knows. */
+  /** Recent crashes of replicas under requests, as known to the sender. */
   std::vector<CrashRow> crashes;
-  /** All requests that are sent to no replica. */
+  /** The most recently quarantined requests. */
   std::vector<QuarantineRow> quarantine;
-  /** Requests that a replica ran to a good end lately, and that replicas had
-   * ended under before. */
+  /** Requests under which replicas had crashed and that a replica has recently
+   * completed. */
   std::vector<Fingerprint> served;
-  /** Replicas that limit what they take, or have done so until lately. */
+  /** Rate limits of replicas, including those lifted recently. */
   std::vector<LimitRow> limits;
   MSGPACK_DEFINE(format,
                  incarnation,
--- a/src/relay/RelayCallers.cpp
+++ b/src/relay/RelayCallers.cpp
@@ -1,4 +1,4 @@
-// Connections of callers: reading requests, writing answers, time-outs.
+// Connections from callers: receiving requests, sending answers, timeouts.
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -15,22 +15,26 @@
 namespace poplartrack {
 namespace {
 
-/** Descriptors kept for files, the store's and replicas' connections. */
+/** File descriptors reserved for files and for connections to the store and to
+ * replicas. */
 constexpr std::size_t kReservedDescriptors = 600;
 
-/** Bytes of later requests that are taken in while one is being answered. */
-constexpr std::size_t kMostAhead = std::size_t{ 64 } * 1024;
+/** Bytes of pipelined requests that are buffered while one is being answered.
+ * Above that, the relay stops reading from the connection. */
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{ 64 } * 1024;
 
-/** How long an answer to a request that was not read whole may take to arrive
- * before the connection is closed under it. */
-constexpr Duration kLinger = std::chrono::seconds{ 1 };
+/** How long a connection stays open after its last answer for the caller to
+ * close it. Closing it while bytes of a request are unread resets it, and the
+ * answer could be lost. */
+constexpr Duration kLingerTimeout = std::chrono::seconds{ 1 };
 
-/** A caller that takes nothing for this long is gone: without it a silent
- * connection holds its answer's memory and its replica for minutes. */
+/** TCP_USER_TIMEOUT in milliseconds: a connection on which the caller
+ * acknowledges nothing for this long is closed. Without it, an unresponsive
+ * caller holds the memory of its answer and its replica for minutes. */
 constexpr int kUserTimeoutMs = 10'000;
 
 ErrorKind
-kindOf(ParseProblem aProblem)
+errorKindOf(ParseProblem aProblem)
 {
   switch (aProblem) {
     case ParseProblem::HeadTooLarge:
@@ -44,8 +48,9 @@
   return ErrorKind::BadRequest;
 }
 
+/** Returns the reason phrase of an HTTP status that the relay itself sends. */
 std::string_view
-reasonOf(int aStatus)
+reasonPhrase(int aStatus)
 {
   switch (aStatus) {
     case 400:
@@ -75,11 +80,13 @@
 
 } // namespace
 
+/** Accepts new connections. The number is limited so that one event does not
+ * hold up the loop; the poller reports the rest again. */
 void
 RelayLoop::Impl::acceptCallers()
 {
-  constexpr int kAcceptsAtOnce = 64;
-  for (int i = 0; i < kAcceptsAtOnce; ++i) {
+  constexpr int kMaxAcceptsPerEvent = 64;
+  for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
     OwnedFd fd{ ::accept4(
       this->listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC) };
     if (!fd.valid()) {
@@ -89,6 +96,8 @@
   }
 }
 
+/** Sets up a new connection and its timer. When the file descriptors are nearly
+ * used up, closes an idle connection first. */
 void
 RelayLoop::Impl::addCaller(OwnedFd aFd)
 {
@@ -96,7 +105,7 @@
                              ? this->settings.descriptors - kReservedDescriptors
                              : this->settings.descriptors / 2;
   if (this->callers.size() >= most) {
-    this->closeIdlest();
+    this->closeLongestIdleCaller();
   }
   setNoDelay(aFd.get());
   ::setsockopt(aFd.get(),
@@ -107,7 +116,7 @@
   auto caller = std::make_unique<CallerConnection>();
   caller->id = this->nextId++;
   caller->fd = std::move(aFd);
-  caller->since = this->now;
+  caller->stateSince = this->now;
   this->resetParser(*caller);
   if (!this->poller.add(caller->fd.get(), caller->id, false)) {
     return;
@@ -119,22 +128,26 @@
   this->callers.emplace(caller->id, std::move(caller));
 }
 
-/** Makes room for a new connection: idle ones are the callers' to reopen. */
+/** Makes room for a new connection. Only a connection without a request is
+ * closed; its caller can open a new one. */
 void
-RelayLoop::Impl::closeIdlest()
+RelayLoop::Impl::closeLongestIdleCaller()
 {
-  const CallerConnection* idlest = nullptr;
+  const CallerConnection* longestIdle = nullptr;
   for (const auto& [id, caller] : this->callers) {
-    const bool free = caller->exchange == 0 && !caller->arriving;
-    if (free && (idlest == nullptr || caller->since < idlest->since)) {
-      idlest = caller.get();
+    const bool free = caller->exchange == 0 && !caller->receivingRequest;
+    if (free && (longestIdle == nullptr ||
+                 caller->stateSince < longestIdle->stateSince)) {
+      longestIdle = caller.get();
     }
   }
-  if (idlest != nullptr) {
-    this->closeCaller(idlest->id);
+  if (longestIdle != nullptr) {
+    this->closeCaller(longestIdle->id);
   }
 }
 
+/** Prepares the connection for the next request, with the current limits of the
+ * configuration. */
 void
 RelayLoop::Impl::resetParser(CallerConnection& aCaller)
 {
@@ -142,10 +155,12 @@
   const CallerLimits limits = config ? config->limits : CallerLimits{};
   aCaller.parser =
     std::make_unique<RequestParser>(limits.headerBytes, limits.bodyBytes);
-  aCaller.arriving = false;
+  aCaller.receivingRequest = false;
   aCaller.continueSent = false;
 }
 
+/** Reads once from a caller and parses the bytes, unless a request is in
+ * progress: then they are kept for later. */
 void
 RelayLoop::Impl::onCallerReadable(CallerConnection& aCaller)
 {
@@ -157,7 +172,7 @@
   if (count <= 0) {
     const std::uint64_t id = aCaller.id;
     if (aCaller.exchange != 0) {
-      this->onCallerGone(aCaller.exchange);
+      this->onCallerDisconnected(aCaller.exchange);
     }
     this->closeCaller(id);
     return;
@@ -165,33 +180,35 @@
   if (aCaller.lingering) {
     return;
   }
-  aCaller.in.append(bytes.data(), static_cast<std::size_t>(count));
+  aCaller.input.append(bytes.data(), static_cast<std::size_t>(count));
   if (aCaller.exchange != 0) {
-    if (aCaller.in.size() > kMostAhead && !aCaller.readPaused) {
+    if (aCaller.input.size() > kMaxPipelinedBytes && !aCaller.readPaused) {
       aCaller.readPaused = true;
-      this->watchCaller(aCaller);
+      this->updateCallerInterest(aCaller);
     }
     return;
   }
-  this->feedCaller(aCaller);
+  this->parseCallerInput(aCaller);
 }
 
+/** Parses buffered bytes, and starts the exchange when the request is complete.
+ */
 void
-RelayLoop::Impl::feedCaller(CallerConnection& aCaller)
+RelayLoop::Impl::parseCallerInput(CallerConnection& aCaller)
 {
-  if (aCaller.in.empty() || aCaller.closeAfterOut) {
+  if (aCaller.input.empty() || aCaller.closeAfterOut) {
     return;
   }
-  if (!aCaller.arriving) {
-    aCaller.arriving = true;
-    aCaller.since = this->now;
+  if (!aCaller.receivingRequest) {
+    aCaller.receivingRequest = true;
+    aCaller.stateSince = this->now;
     const auto config = this->shared.config.read();
     this->timers.arm(
       aCaller.id,
       this->now + (config ? config->limits : CallerLimits{}).headerTimeout);
   }
-  const std::size_t taken = aCaller.parser->feed(aCaller.in);
-  aCaller.in.erase(0, taken);
+  const std::size_t taken = aCaller.parser->feed(aCaller.input);
+  aCaller.input.erase(0, taken);
   if (aCaller.parser->problem() != ParseProblem::None) {
     this->onParseProblem(aCaller, aCaller.parser->problem());
     return;
@@ -209,11 +226,13 @@
   this->beginExchange(aCaller, head);
 }
 
+/** Rejects a request that cannot be parsed and closes its connection: where the
+ * next request begins is unknown. */
 void
 RelayLoop::Impl::onParseProblem(CallerConnection& aCaller,
                                 ParseProblem aProblem)
 {
-  const Error error{ kindOf(aProblem), "the request cannot be read" };
+  const Error error{ errorKindOf(aProblem), "the request cannot be read" };
   const auto id = aCaller.parser->head().headers.find(this->names.requestId);
   const std::string requestId{ id.value_or("") };
   this->shared.metrics.countRefusal(error.kind);
@@ -223,6 +242,8 @@
   this->answerError(aCaller, error, requestId, Duration{ 0 }, true);
 }
 
+/** Sends an error answer of the relay itself. A retry delay of 0 is left out;
+ * aClose closes the connection after the answer. */
 void
 RelayLoop::Impl::answerError(CallerConnection& aCaller,
                              const Error& aError,
@@ -235,7 +256,7 @@
                            "\",\"message\":\"" + std::string{ row.message } +
                            "\"}\n";
   std::string text = "HTTP/1.1 " + std::to_string(row.httpStatus) + " ";
-  text.append(reasonOf(row.httpStatus)).append("\r\n");
+  text.append(reasonPhrase(row.httpStatus)).append("\r\n");
   if (!aRequestId.empty()) {
     text.append(this->names.requestId).append(": ").append(aRequestId);
     text.append("\r\n");
@@ -259,65 +280,74 @@
   this->sendToCaller(aCaller, text);
 }
 
+/** Queues bytes for a caller and writes what the socket accepts. */
 void
 RelayLoop::Impl::sendToCaller(CallerConnection& aCaller,
                               std::string_view aBytes)
 {
-  aCaller.out.append(aBytes);
+  aCaller.output.append(aBytes);
   this->flushCaller(aCaller);
 }
 
+/** Writes queued bytes until the socket accepts no more. Starts to close the
+ * connection if that was the last answer. */
 void
 RelayLoop::Impl::flushCaller(CallerConnection& aCaller)
 {
-  while (!aCaller.out.empty()) {
-    const ssize_t count = ::send(
-      aCaller.fd.get(), aCaller.out.data(), aCaller.out.size(), MSG_NOSIGNAL);
+  while (!aCaller.output.empty()) {
+    const ssize_t count = ::send(aCaller.fd.get(),
+                                 aCaller.output.data(),
+                                 aCaller.output.size(),
+                                 MSG_NOSIGNAL);
     if (count < 0) {
       if (errno == EAGAIN || errno == EINTR) {
         break;
       }
-      // The read side reports the end of the connection.
-      aCaller.out.clear();
+      // The next read reports that the connection has ended.
+      aCaller.output.clear();
       break;
     }
-    aCaller.out.erase(0, static_cast<std::size_t>(count));
+    aCaller.output.erase(0, static_cast<std::size_t>(count));
   }
-  const bool wantsWrite = !aCaller.out.empty();
+  const bool wantsWrite = !aCaller.output.empty();
   if (wantsWrite != aCaller.watchesWrite) {
     aCaller.watchesWrite = wantsWrite;
-    this->watchCaller(aCaller);
+    this->updateCallerInterest(aCaller);
   }
   if (!wantsWrite && aCaller.closeAfterOut && !aCaller.lingering) {
-    this->linger(aCaller);
+    this->startLingeringClose(aCaller);
   }
 }
 
+/** Tells the poller which events of the connection to report. */
 void
-RelayLoop::Impl::watchCaller(CallerConnection& aCaller)
+RelayLoop::Impl::updateCallerInterest(CallerConnection& aCaller)
 {
   this->poller.change(
     aCaller.fd.get(), aCaller.id, aCaller.watchesWrite, !aCaller.readPaused);
 }
 
+/** Shuts down the write side and discards what is received until the caller
+ * closes or kLingerTimeout has passed. */
 void
-RelayLoop::Impl::linger(CallerConnection& aCaller)
+RelayLoop::Impl::startLingeringClose(CallerConnection& aCaller)
 {
   aCaller.lingering = true;
   if (aCaller.readPaused) {
     aCaller.readPaused = false;
-    this->watchCaller(aCaller);
+    this->updateCallerInterest(aCaller);
   }
   ::shutdown(aCaller.fd.get(), SHUT_WR);
-  this->timers.arm(aCaller.id, this->now + kLinger);
+  this->timers.arm(aCaller.id, this->now + kLingerTimeout);
 }
 
-/** The answer has been written; the connection is free for the next. */
+/** Ends the current request of a connection: closes the connection, or
+ * continues with the next request, which may be buffered already. */
 void
 RelayLoop::Impl::onAnswerWritten(CallerConnection& aCaller)
 {
   aCaller.exchange = 0;
-  aCaller.since = this->now;
+  aCaller.stateSince = this->now;
   if (aCaller.closeAfterOut) {
     return;
   }
@@ -333,27 +363,29 @@
                      (config ? config->limits : CallerLimits{}).idleTimeout);
   if (aCaller.readPaused) {
     aCaller.readPaused = false;
-    this->watchCaller(aCaller);
+    this->updateCallerInterest(aCaller);
   }
-  this->feedCaller(aCaller);
+  this->parseCallerInput(aCaller);
 }
 
+/** Handles the timeout of a connection that is idle, closing or receiving a
+ * request. */
 void
 RelayLoop::Impl::onCallerTimer(CallerConnection& aCaller)
 {
   if (aCaller.exchange != 0) {
     return;
   }
-  if (aCaller.lingering || !aCaller.arriving) {
+  if (aCaller.lingering || !aCaller.receivingRequest) {
     this->closeCaller(aCaller.id);
     return;
   }
   const auto config = this->shared.config.read();
   const CallerLimits limits = config ? config->limits : CallerLimits{};
   const bool headDone = aCaller.parser->is_header_done();
-  // A long body may take its time, as long as an idle connection may.
-  if (headDone && this->now - aCaller.since < limits.idleTimeout) {
-    this->timers.arm(aCaller.id, aCaller.since + limits.idleTimeout);
+  // A body may take as long as a connection may be idle.
+  if (headDone && this->now - aCaller.stateSince < limits.idleTimeout) {
+    this->timers.arm(aCaller.id, aCaller.stateSince + limits.idleTimeout);
     return;
   }
   this->shared.metrics.countRefusal(ErrorKind::HeadTimeout);
@@ -361,10 +393,11 @@
     aCaller, Error{ ErrorKind::HeadTimeout, "" }, "", Duration{ 0 }, true);
 }
 
-/** Whether the caller has closed its connection, also where that has not been
- * read yet: a loop that is behind reads a request long after it came. */
+/** Whether the caller has closed its connection, even if the loop has not read
+ * the end of it yet: a loop that lags behind handles a request long after it
+ * arrived. */
 bool
-RelayLoop::Impl::callerLeft(const Exchange& aExchange) const
+RelayLoop::Impl::callerHasDisconnected(const Exchange& aExchange) const
 {
   const auto found = this->callers.find(aExchange.caller);
   if (found == this->callers.end()) {
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -1,4 +1,4 @@
-// The course of an admitted request: its attempts, its timers and its end.
+// An admitted request: its attempts, its timers and its end.
 
 #include <algorithm>
 
@@ -8,15 +8,17 @@
 namespace poplartrack {
 namespace {
 
-/** A connection that is not open by then leads to a replica that is dead or
- * cut off; inside a region it takes some ms, or a second when the opening
- * packet is lost. */
-constexpr Duration kConnectPatience = std::chrono::milliseconds{ 400 };
+/** A replica that has not accepted a connection within this time is taken to be
+ * unreachable. Within a region, connecting takes a few milliseconds, or a
+ * second when the SYN packet is lost. */
+constexpr Duration kConnectTimeout = std::chrono::milliseconds{ 400 };
 
-/** A relay that was heard this lately still serves. */
-constexpr Duration kPeerServes = std::chrono::milliseconds{ 1'000 };
+/** While another relay reported a recent enough proof of its configuration this
+ * lately, a refused caller can expect it to serve the request. */
+constexpr Duration kMaxPeerProofAge = std::chrono::milliseconds{ 1'000 };
 
-/** The same spread for the same request, and no random source to share. */
+/** Hash of a request id, used as jitter for the retry advice: it needs no
+ * random generator and is the same for repeats of a request. */
 std::uint64_t
 hashOf(std::string_view aText)
 {
@@ -31,6 +33,7 @@
   return aExchange.answering ? RetryNeed::Started : RetryNeed::Fresh;
 }
 
+/** Logs an event of a request with the state of the request. */
 void
 RelayLoop::Impl::logRequest(const Exchange& aExchange,
                             std::string_view aEvent,
@@ -77,7 +80,8 @@
   this->shared.log.write(line);
 }
 
-/** Starts the next attempt, or ends the request when there is none. */
+/** Sends the next attempt, queues the request until one is possible, or refuses
+ * the request. */
 void
 RelayLoop::Impl::dispatch(Exchange& aExchange)
 {
@@ -100,8 +104,8 @@
     return;
   }
   Result<AttemptTarget> target = this->chooseQueued(aExchange);
-  if (target && this->callerLeft(aExchange)) {
-    this->onCallerGone(aExchange.id);
+  if (target && this->callerHasDisconnected(aExchange)) {
+    this->onCallerDisconnected(aExchange.id);
     return;
   }
   if (target && aExchange.needsRetryBudget &&
@@ -111,7 +115,7 @@
   if (target) {
     aExchange.needsRetryBudget = false;
     aExchange.waitingSince.reset();
-    this->send(aExchange, target.value());
+    this->sendAttempt(aExchange, target.value());
     return;
   }
   if (this->mayWait(aExchange, target.error().kind)) {
@@ -124,8 +128,10 @@
   this->refuse(aExchange, target.error(), aExchange.runs == 0);
 }
 
+/** Sends the request to the replica on an idle or new connection, and records
+ * its load. */
 void
-RelayLoop::Impl::send(Exchange& aExchange, const AttemptTarget& aTarget)
+RelayLoop::Impl::sendAttempt(Exchange& aExchange, const AttemptTarget& aTarget)
 {
   const bool recentOnly = aExchange.route->rule == RetryRule::AtMostOnce;
   Result<ReplicaConnection*> opened = this->connectionTo(aTarget, recentOnly);
@@ -151,14 +157,16 @@
   this->addLoad(aExchange);
   this->payCrossings(aExchange, aTarget.path);
   this->armExchange(aExchange);
-  // The answer to HEAD names a length and has no body.
+  // An answer to HEAD has a Content-Length but no body.
   connection.parser->skip(aExchange.head.method == "HEAD");
-  connection.out = this->requestHead(aExchange, aTarget) + aExchange.body;
+  connection.output = this->requestHead(aExchange, aTarget) + aExchange.body;
   if (connection.state == ReplicaConnection::State::Busy) {
     this->flushReplica(connection);
   }
 }
 
+/** Sets the timer to the next deadline of the request: its own, the connect
+ * timeout or the stall timeout. */
 void
 RelayLoop::Impl::armExchange(Exchange& aExchange)
 {
@@ -168,7 +176,7 @@
     connection != this->connections.end() &&
     connection->second->state == ReplicaConnection::State::Connecting;
   if (connecting) {
-    next = std::min(next, aExchange.sentAt + kConnectPatience);
+    next = std::min(next, aExchange.sentAt + kConnectTimeout);
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
       aExchange.overdue ? aExchange.overdueHandledAt : aExchange.lastProgress;
@@ -177,6 +185,8 @@
   this->timers.arm(aExchange.id, next);
 }
 
+/** Handles whichever deadline of the request has passed. Requests that have no
+ * route or connection yet are tried again. */
 void
 RelayLoop::Impl::onExchangeTimer(Exchange& aExchange)
 {
@@ -197,7 +207,7 @@
     return;
   }
   if (connection->second->state == ReplicaConnection::State::Connecting) {
-    if (this->now - aExchange.sentAt >= kConnectPatience) {
+    if (this->now - aExchange.sentAt >= kConnectTimeout) {
       this->onBroken(aExchange, ReplicaFailure::Unreachable, "connect timeout");
       return;
     }
@@ -212,7 +222,7 @@
   this->armExchange(aExchange);
 }
 
-/** Whether the present attempt may have reached its replica. */
+/** Whether the current attempt may have reached its replica. */
 bool
 RelayLoop::Impl::mayHaveRun(const Exchange& aExchange) const
 {
@@ -220,7 +230,8 @@
   return found != this->connections.end() && found->second->anySent;
 }
 
-/** Ends the present attempt. Closing its connection stops the work there. */
+/** Ends the current attempt. Closing its connection stops the work at the
+ * replica. */
 void
 RelayLoop::Impl::dropAttempt(Exchange& aExchange, bool aMayHaveRun)
 {
@@ -235,6 +246,7 @@
   aExchange.splitter.reset();
 }
 
+/** Removes the request. aExchange is destroyed. */
 void
 RelayLoop::Impl::endExchange(Exchange& aExchange)
 {
@@ -245,9 +257,10 @@
   --this->openCount;
 }
 
-/** The caller has closed its connection: the replica's work stops now. */
+/** Ends the request of a caller that has closed its connection, which also
+ * stops the work at the replica. */
 void
-RelayLoop::Impl::onCallerGone(std::uint64_t aExchange)
+RelayLoop::Impl::onCallerDisconnected(std::uint64_t aExchange)
 {
   const auto found = this->exchanges.find(aExchange);
   if (found == this->exchanges.end()) {
@@ -261,8 +274,9 @@
 }
 
 /**
- * Ends a request without an answer of a replica. aNotRun: it is proved that it
- * has not run and never will; only then the answer may say so.
+ * Ends a request with an error, or cuts its connection if part of an answer has
+ * been sent. aNotRun says that the request certainly has not run and never
+ * will; only then may the error say so.
  */
 void
 RelayLoop::Impl::refuse(Exchange& aExchange, const Error& aError, bool aNotRun)
@@ -286,7 +300,7 @@
   const bool answering = aExchange.answering;
   RefusalState state;
   state.kind = error.kind;
-  state.othersServe = this->now - this->peerProvedFreshAt <= kPeerServes;
+  state.othersServe = this->now - this->peerProvedFreshAt <= kMaxPeerProofAge;
   state.timeLeft = aExchange.giveUpAt - this->now;
   state.spread = hashOf(requestId);
   if (state.kind == ErrorKind::Quarantined) {
@@ -298,8 +312,8 @@
   }
   CallerConnection& caller = *found->second;
   if (answering) {
-    // Part of the answer is with the caller: only a cut tells that the rest
-    // will not come.
+    // The caller has part of the answer. Only closing the connection can show
+    // that the rest will not come.
     this->closeCaller(caller.id);
     return;
   }
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -11,32 +11,36 @@
 namespace poplartrack {
 namespace {
 
+/** Keys of the sockets in the poller. kWaitQueueTimerKey is the next one. */
 constexpr std::uint64_t kListenerKey = 1;
 constexpr std::uint64_t kPeersKey = 2;
-constexpr std::uint64_t kFirstId = 16;
+/** First id of a connection or exchange; smaller ones are fixed keys. */
+constexpr std::uint64_t kFirstDynamicId = 16;
 
-/** Logs are flushed, peers told and idle connections looked through this
- * often. Peers' loads are then at most this old, plus one way on the network:
- * a relay starts about 3 requests in that time. */
-constexpr Duration kRegularPause = std::chrono::milliseconds{ 200 };
+/** Interval of runPeriodicTasks, which also sends the status message. The loads
+ * that peers report are at most this old, plus the network delay; a relay
+ * starts about 3 requests in that time. */
+constexpr Duration kPeriodicInterval = std::chrono::milliseconds{ 200 };
 
-/** A relay that told nothing for this long is not heard any more. */
-constexpr Duration kPeerSilence = std::chrono::seconds{ 2 };
+/** A relay that has sent no status message for this long is no longer a known
+ * peer. */
+constexpr Duration kPeerTimeout = std::chrono::seconds{ 2 };
 
-/** A replica whose endpoint has started again is forgotten after this: no relay
- * has an older list by then, and no stream through it is left. */
-constexpr Duration kEndedForgotten = std::chrono::seconds{ 20 };
+/** How long the restart of a replica is remembered. By then no relay has a list
+ * from before the restart, and no stream through the replica is left. */
+constexpr Duration kRestartRecordTtl = std::chrono::seconds{ 20 };
 
-/** Margin between the bound on revoked keys and the age at which a relay stops
- * sending. It covers a store that answers for a second without what was changed
- * meanwhile, as it does before it drops its history. */
+/** Margin between the bound on the use of revoked keys and the age of the
+ * configuration at which a relay stops sending. It covers a store whose answers
+ * lack recent changes for a second, as happens before it drops its history. */
 constexpr Duration kRevokeMargin = std::chrono::milliseconds{ 1'000 };
 
-/** Margin between the deadline for a new configuration and the age at which one
- * is not used any more: the way of a request to its replica, and a store whose
- * clock ran a little late. */
+/** Margin between the deadline for applying a new configuration and the age at
+ * which a relay stops using its own. It covers the time that a request takes to
+ * reach its replica, and a store whose clock is slightly behind. */
 constexpr Duration kConfigMargin = std::chrono::milliseconds{ 300 };
 
+/** Derives the age limits of the configuration from the settings. */
 GatePolicy
 gatePolicy(const RelaySettings& aSettings)
 {
@@ -49,7 +53,7 @@
   return policy;
 }
 
-/** The second tries that all relays have together. */
+/** Returns the retry budget that all relays share. */
 SharedRetryPolicy
 retryPolicy(const RelaySettings& aSettings)
 {
@@ -60,12 +64,14 @@
   return policy;
 }
 
-/** Heartbeats after which the list tells that a replica has ended: it misses
- * three, and the news take a while. */
-constexpr int kHeartbeatsToTell = 4;
+/** Number of heartbeats after which the replica list shows that a replica has
+ * crashed: it is removed after three missed ones, and the update of the list
+ * takes time to arrive. */
+constexpr int kHeartbeatsToReportCrash = 4;
 
-/** Relays of a deployment until their list has been read. */
-constexpr std::size_t kFewRelays = 4;
+/** Smallest number of relays that the retry budgets assume: the list of relays
+ * may not have been read yet. */
+constexpr std::size_t kMinAssumedRelays = 4;
 
 } // namespace
 
@@ -80,11 +86,11 @@
   , calls(std::move(aCalls))
   , gate(gatePolicy(this->settings))
   , poller(std::move(aPoller))
-  , nextId(kFirstId)
+  , nextId(kFirstDynamicId)
   , view(std::make_shared<const ReplicaView>())
   , health(this->settings.heartbeat)
   , budgets(retryPolicy(this->settings))
-  , crashWatch(this->settings.heartbeat * kHeartbeatsToTell)
+  , crashWatch(this->settings.heartbeat * kHeartbeatsToReportCrash)
   , ownIncarnation(randomRequestId().low)
 {
 }
@@ -98,6 +104,7 @@
   }
 }
 
+/** Opens the listener for callers and the socket for datagrams. */
 Result<Done>
 RelayLoop::Impl::listen()
 {
@@ -109,7 +116,7 @@
   if (!bound) {
     return bound.error();
   }
-  this->local = bound.value();
+  this->localCallers = bound.value();
   this->listener = std::move(fd).value();
   this->poller.add(this->listener.get(), kListenerKey, false);
   const Result<Done> peers = this->openPeers();
@@ -140,6 +147,7 @@
   this->poller.wake();
 }
 
+/** Runs the work that other threads, or the loop itself, have posted. */
 void
 RelayLoop::Impl::runPosted()
 {
@@ -153,16 +161,17 @@
   }
 }
 
+/** Runs the event loop until the relay stops. */
 void
 RelayLoop::Impl::run()
 {
   this->now = runtimeNow();
   this->startedAt = this->now;
-  this->regularAt = this->now;
+  this->nextPeriodicAt = this->now;
   while (!this->stopping) {
     const std::optional<TimePoint> timer = this->timers.next();
     const TimePoint until =
-      timer ? std::min(*timer, this->regularAt) : this->regularAt;
+      timer ? std::min(*timer, this->nextPeriodicAt) : this->nextPeriodicAt;
     const auto events = this->poller.wait(this->now, until);
     this->now = runtimeNow();
     this->runPosted();
@@ -172,14 +181,15 @@
     while (const auto key = this->timers.popDue(this->now)) {
       this->onTimer(*key);
     }
-    if (this->now >= this->regularAt) {
-      this->regularWork();
-      this->regularAt = this->now + kRegularPause;
+    if (this->now >= this->nextPeriodicAt) {
+      this->runPeriodicTasks();
+      this->nextPeriodicAt = this->now + kPeriodicInterval;
     }
   }
   this->shared.log.flush();
 }
 
+/** Dispatches an event of the poller by its key. */
 void
 RelayLoop::Impl::onEvent(const ReadyEvent& aEvent)
 {
@@ -196,7 +206,7 @@
     if (aEvent.writable && caller->second->watchesWrite) {
       this->flushCaller(*caller->second);
     }
-    // The flush may have closed it.
+    // The flush may have closed the connection.
     const auto still = this->callers.find(aEvent.key);
     if (aEvent.readable && still != this->callers.end()) {
       this->onCallerReadable(*still->second);
@@ -209,6 +219,8 @@
   }
 }
 
+/** Dispatches a timer that has expired: of the wait queue, an exchange or a
+ * caller. */
 void
 RelayLoop::Impl::onTimer(std::uint64_t aKey)
 {
@@ -227,6 +239,8 @@
   }
 }
 
+/** Switches to the latest replica list and drops what is kept for replicas that
+ * are no longer listed. */
 void
 RelayLoop::Impl::refreshReplicas()
 {
@@ -250,6 +264,12 @@
   this->confirmCrashes();
 }
 
+/**
+ * Updates the shared map of lost replicas. For each replica, it says whether
+ * the loss is certain; a replica that only this relay cannot reach is not
+ * certainly lost. Replicas that are slow, or have restarted, count as lost.
+ * When an entry is added or changes, the other relays are informed at once.
+ */
 void
 RelayLoop::Impl::publishLostReplicas()
 {
@@ -295,14 +315,16 @@
     }
   }
   if (changed) {
-    // The next word would come after 200 ms; the streams of the other relays
-    // stand still meanwhile.
+    // The next periodic status message is up to 200 ms away. The streams of the
+    // other relays through the lost replica would stall until then.
     this->broadcastStatus(true);
   }
 }
 
+/** Publishes which replicas have requests of any relay in flight. Only the
+ * holder of the placement lease needs to know. */
 void
-RelayLoop::Impl::publishBusy()
+RelayLoop::Impl::publishBusyReplicas()
 {
   if (!this->shared.holdsLease) {
     return;
@@ -317,14 +339,17 @@
     std::make_shared<const std::set<std::string>>(std::move(busy)));
 }
 
+/** Expires old state, publishes what other threads need, checks slow and
+ * draining replicas, sends the status message and closes expired idle
+ * connections. Sets the metrics once a second. */
 void
-RelayLoop::Impl::regularWork()
+RelayLoop::Impl::runPeriodicTasks()
 {
-  constexpr std::uint32_t kSecondOf = 5;
+  constexpr std::uint32_t kRunsPerSecond = 5;
   this->refreshReplicas();
   this->loads.expirePeers(this->now);
   std::erase_if(this->knownPeers, [this](const auto& aEntry) {
-    const bool silent = this->now - aEntry.second.receivedAt > kPeerSilence;
+    const bool silent = this->now - aEntry.second.receivedAt > kPeerTimeout;
     if (silent) {
       this->links.forget(
         incarnationName(aEntry.first, aEntry.second.echo.incarnation));
@@ -332,23 +357,23 @@
     return silent;
   });
   this->shareLimits();
-  this->chooseReaders();
+  this->updateStorePolling();
   this->reports.expire(this->now);
   this->expireDrainReports();
   std::erase_if(this->restartedReplicas, [this](const auto& aEntry) {
-    return this->now - aEntry.second > kEndedForgotten;
+    return this->now - aEntry.second > kRestartRecordTtl;
   });
   this->publishLostReplicas();
   this->refreshQuarantine();
-  this->publishBusy();
+  this->publishBusyReplicas();
   this->budgets.setRelays(
-    std::max(this->shared.peers.read()->size() + 1, kFewRelays));
+    std::max(this->shared.peers.read()->size() + 1, kMinAssumedRelays));
   this->askSlowOnes();
   this->moveOffDraining();
   this->broadcastStatus(false);
-  this->closeStaleIdle(this->now);
+  this->closeExpiredIdle(this->now);
   this->shared.log.flush();
-  if (this->regularCount++ % kSecondOf == 0) {
+  if (this->periodicRuns++ % kRunsPerSecond == 0) {
     Metrics& metrics = this->shared.metrics;
     metrics.set("callers_open",
                 static_cast<std::int64_t>(this->callers.size()));
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -37,74 +37,78 @@
 
 namespace poplartrack {
 
-/** Bytes that one read takes from a caller or replica. */
+/** Most bytes that one read takes from a caller or replica. */
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
-/** Tokens of one event, when the engine writes several at once. */
+/** Tokens that one event may carry when the engine writes several at once. */
 constexpr int kTokensPerEvent = 2;
 
-/** Pause between two looks for what a request waits for: a path, or what a
- * relay that has just started must know. */
+/** Interval at which a waiting request is tried again. It waits for a path, or
+ * after the start of the relay for the configuration and the replica list. */
 constexpr Duration kWaitRetryInterval = std::chrono::milliseconds{ 25 };
 
-/** Timer of the requests that wait for memory. */
+/** Key of the timer that retries the requests in the wait queue. */
 constexpr std::uint64_t kWaitQueueTimerKey = 3;
 
-/** How urgent a request is at a replica, 0 to 9; 0 goes first. The account's
- * word goes before the route's. */
+/** Returns the urgency of a request at a replica, from 0, the most urgent,
+ * to 9. The account's priority takes precedence over the route's. */
 int
 urgencyOf(const Exchange& aExchange);
 
-/** What the request asks for, the same for each id under which it comes. */
+/** Returns the fingerprint of the content of a request. It does not depend on
+ * the request id, so a repeated request has the same one. */
 const Fingerprint&
 contentOf(Exchange& aExchange);
 
-/** A rate for the log, which holds whole numbers: thousandths of a request a
- * second. */
+/** Converts a rate from requests a second to thousandths of it: the log holds
+ * only whole numbers. */
 std::int64_t
 milliOf(double aPerSecond);
 
-/** What a retry of the request would be for. */
+/** Returns the kind of retry that the request would need, depending on whether
+ * its answer has started. */
 RetryNeed
 retryNeedOf(const Exchange& aExchange);
 
-/** How the connection under an attempt ended. */
+/** How the connection of an attempt ended. */
 enum class ConnectionEnd : std::uint8_t
 {
-  /** The replica's instance closed or reset it. */
+  /** The replica's instance closed or reset it, or the connection became
+   * unusable. */
   Closed,
-  /** Nothing came from there any more. */
+  /** The replica stopped responding. */
   Silent,
 };
 
-/** Names one life of a relay's process. */
+/** Returns a name for one incarnation of a relay's process. */
 std::string
 incarnationName(const Address& aPeer, std::uint64_t aIncarnation);
 
-/** An order to move a running request to another path. */
+/** An order to a replica to move a running request to another path. */
 struct RepathOrder
 {
   std::uint64_t exchange = 0;
   LayerPath before;
   LayerPath after;
-  /** A replica of the old path leaves; it has not failed. */
+  /** A replica of the old path is draining; none has failed. */
   bool planned = false;
 };
 
-/** Where an attempt goes. */
+/** The replica that an attempt is sent to. */
 struct AttemptTarget
 {
+  /** Id of the replica. */
   std::string replica;
-  /** The name under which it is registered; it refuses work meant for another
-   * one. */
+  /** The name under which it is registered. A replica refuses requests that
+   * name another one. */
   std::string registeredAs;
   Address address;
   /** Empty for plain services. */
   LayerPath path;
 };
 
-/** The state of the loop's thread; every member function runs on it but for
- * those that say otherwise. */
+/** The state of the loop's thread. Member functions run on that thread unless
+ * their comment says otherwise. */
 class RelayLoop::Impl
 {
 public:
@@ -119,41 +123,42 @@
 
   Result<Done> listen();
   void start();
-  /** From any thread. */
+  /** May be called from any thread. */
   void post(std::function<void()> aWork);
+  /** May be called from any thread. */
   [[nodiscard]] std::size_t openRequests() const { return this->openCount; }
-  [[nodiscard]] const Address& address() const { return this->local; }
+  [[nodiscard]] const Address& address() const { return this->localCallers; }
   [[nodiscard]] const Address& peersAddress() const { return this->localPeers; }
 
 private:
   using ExchangePtr = std::unique_ptr<Exchange>;
 
-  // RelayLoop.cpp: the thread, timers and the regular work.
+  // RelayLoop.cpp: the thread, timers and periodic tasks.
   void run();
   void runPosted();
   void onEvent(const ReadyEvent& aEvent);
   void onTimer(std::uint64_t aKey);
-  void regularWork();
+  void runPeriodicTasks();
   void refreshReplicas();
   void publishLostReplicas();
-  void publishBusy();
+  void publishBusyReplicas();
 
-  // RelayCallers.cpp: connections of callers.
+  // RelayCallers.cpp: connections from callers.
   void acceptCallers();
   void addCaller(OwnedFd aFd);
   void onCallerReadable(CallerConnection& aCaller);
-  void feedCaller(CallerConnection& aCaller);
+  void parseCallerInput(CallerConnection& aCaller);
   void onParseProblem(CallerConnection& aCaller, ParseProblem aProblem);
   void resetParser(CallerConnection& aCaller);
   void sendToCaller(CallerConnection& aCaller, std::string_view aBytes);
   void flushCaller(CallerConnection& aCaller);
-  void watchCaller(CallerConnection& aCaller);
+  void updateCallerInterest(CallerConnection& aCaller);
   void onAnswerWritten(CallerConnection& aCaller);
   void onCallerTimer(CallerConnection& aCaller);
-  void linger(CallerConnection& aCaller);
+  void startLingeringClose(CallerConnection& aCaller);
   void closeCaller(std::uint64_t aId);
-  [[nodiscard]] bool callerLeft(const Exchange& aExchange) const;
-  void closeIdlest();
+  [[nodiscard]] bool callerHasDisconnected(const Exchange& aExchange) const;
+  void closeLongestIdleCaller();
   void answerError(CallerConnection& aCaller,
                    const Error& aError,
                    std::string_view aRequestId,
@@ -166,20 +171,20 @@
   void onReplicaEvent(ReplicaConnection& aConnection, const ReadyEvent& aEvent);
   void onReplicaConnected(ReplicaConnection& aConnection);
   void readReplica(ReplicaConnection& aConnection);
-  void feedReplica(std::uint64_t aConnection);
-  bool feedOnce(ReplicaConnection& aConnection);
-  void onReplicaEnd(std::uint64_t aConnection,
-                    bool aClean,
-                    std::string_view aCause,
-                    ConnectionEnd aEnd = ConnectionEnd::Closed);
+  void parseReplicaInput(std::uint64_t aConnection);
+  bool parseNextAnswer(ReplicaConnection& aConnection);
+  void onReplicaDisconnected(std::uint64_t aConnection,
+                             bool aClean,
+                             std::string_view aCause,
+                             ConnectionEnd aEnd = ConnectionEnd::Closed);
   void flushReplica(ReplicaConnection& aConnection);
-  void watchReplica(ReplicaConnection& aConnection, bool aWrite);
+  void setReplicaWriteInterest(ReplicaConnection& aConnection, bool aWrite);
   void releaseReplica(ReplicaConnection& aConnection);
   void closeReplica(std::uint64_t aId);
-  void closeStaleIdle(TimePoint aNow);
+  void closeExpiredIdle(TimePoint aNow);
   void resetParser(ReplicaConnection& aConnection);
 
-  // RelayAdmission.cpp: the way of a request in.
+  // RelayAdmission.cpp: admission of requests.
   void beginExchange(CallerConnection& aCaller, MessageHead aHead);
   [[nodiscard]] bool waitsForStart(const Exchange& aExchange);
   void admit(Exchange& aExchange);
@@ -188,25 +193,25 @@
   [[nodiscard]] ConfigProof configProof() const;
   [[nodiscard]] bool fresh(const Exchange& aExchange) const;
 
-  // RelayExchange.cpp: the course of an admitted request.
+  // RelayExchange.cpp: attempts, timers and the end of a request.
   void dispatch(Exchange& aExchange);
-  void send(Exchange& aExchange, const AttemptTarget& aTarget);
+  void sendAttempt(Exchange& aExchange, const AttemptTarget& aTarget);
   void onExchangeTimer(Exchange& aExchange);
   void armExchange(Exchange& aExchange);
   void dropAttempt(Exchange& aExchange, bool aMayHaveRun);
   void endExchange(Exchange& aExchange);
-  void onCallerGone(std::uint64_t aExchange);
+  void onCallerDisconnected(std::uint64_t aExchange);
   void refuse(Exchange& aExchange, const Error& aError, bool aNotRun);
   [[nodiscard]] bool mayHaveRun(const Exchange& aExchange) const;
 
-  // RelayWaiting.cpp: requests without a path.
+  // RelayWaiting.cpp: requests that wait for a path.
   [[nodiscard]] Waiter waiterOf(const Exchange& aExchange) const;
   Result<AttemptTarget> chooseQueued(Exchange& aExchange);
   void beginRound();
   void tryWaiting();
   bool mayWait(Exchange& aExchange, ErrorKind aReason);
 
-  // RelayAnswer.cpp: what replicas answer.
+  // RelayAnswer.cpp: answers of replicas.
   void onAnswerHead(Exchange& aExchange, ReplicaConnection& aConnection);
   void onAnswerBody(Exchange& aExchange, ReplicaConnection& aConnection);
   void noteRepaired(Exchange& aExchange);
@@ -223,14 +228,14 @@
                                        const MessageHead& aHead,
                                        std::string_view aFraming) const;
 
-  // RelayLimits.cpp: replicas that limit what they take.
+  // RelayLimits.cpp: rate limits of replicas.
   void noteLimit(Exchange& aExchange, const MessageHead& aHead);
   [[nodiscard]] bool takesRequests(const std::string& aReplica);
   void shareLimits();
   void addLimits(PeerStatus& aStatus) const;
   void onPeerLimits(const PeerStatus& aStatus);
 
-  // RelayChoice.cpp: where an attempt goes.
+  // RelayChoice.cpp: choice of replicas and paths.
   Result<AttemptTarget> choose(Exchange& aExchange);
   Result<AttemptTarget> choosePath(const Exchange& aExchange,
                                    const std::string& aFirst);
@@ -252,7 +257,7 @@
   void removeLoad(Exchange& aExchange);
   void endPrefill(Exchange& aExchange);
 
-  // RelayStall.cpp: work that stands still.
+  // RelayStall.cpp: requests that make no progress.
   [[nodiscard]] Duration stallTimeoutOf(const Exchange& aExchange) const;
   void onOverdue(Exchange& aExchange);
   void ask(const PathPart& aPart, Duration aPause);
@@ -263,7 +268,7 @@
   void hurryThrough(const std::string& aReplica);
   [[nodiscard]] bool movesAt(const std::string& aReplica) const;
 
-  // RelayRepair.cpp: moving requests off what was lost.
+  // RelayRepair.cpp: moving requests off lost replicas.
   void onFaultyReplica(const std::string& aReplica);
   [[nodiscard]] std::vector<std::uint64_t> requestsThrough(
     const std::string& aReplica) const;
@@ -271,7 +276,7 @@
   void leaveFirst(Exchange& aExchange);
   void onRepath(const RepathOrder& aOrder, RepathOutcome aOutcome);
 
-  // RelayDraining.cpp: replicas that leave.
+  // RelayDraining.cpp: replicas that drain or restart.
   void noteDraining(const ReplicaView& aLatest);
   void noteRestarted(const ReplicaView& aLatest);
   void endIncarnation(const std::string& aReplica);
@@ -282,7 +287,7 @@
   void moveOffDraining();
   [[nodiscard]] bool usesDrainingReplica(const Exchange& aExchange) const;
 
-  // RelayCrashes.cpp: requests under which replicas end.
+  // RelayCrashes.cpp: requests that crash replicas, and their quarantine.
   void watchCrash(Exchange& aExchange, ConnectionEnd aEnd);
   [[nodiscard]] bool hasEnded(const std::string& aReplica) const;
   void confirmCrashes();
@@ -302,7 +307,7 @@
   // RelayPeers.cpp: datagrams between relays.
   Result<Done> openPeers();
   void readPeers();
-  void meet(const Address& aSender);
+  void addUnlistedPeer(const Address& aSender);
   void broadcastStatus(bool aChanged);
   [[nodiscard]] PeerStatus ownStatus();
   void sendDatagram(const Address& aPeer, std::string_view aDatagram) const;
@@ -313,9 +318,9 @@
                     const PeerEcho& aEcho,
                     const Address& aFrom);
   [[nodiscard]] SharedRetryBudget& budgetOf(const Exchange& aExchange);
-  void chooseReaders();
+  void updateStorePolling();
   void sendListDelta(const ReplicaListDelta& aDelta);
-  void learnFreshness(const PeerStatus& aStatus, const PeerEcho& aEcho);
+  void applyPeerFreshness(const PeerStatus& aStatus, const PeerEcho& aEcho);
 
   void logRequest(const Exchange& aExchange,
                   std::string_view aEvent,
@@ -325,26 +330,33 @@
   RelayHeaderNames names;
   RelayShared& shared;
   ReplicaCalls calls;
+  /** Bounds on the age of the configuration. */
   GatePolicy gate;
 
   Poller poller;
   OwnedFd listener;
   OwnedFd peerSocket;
-  Address local;
+  /** Address on which callers connect. */
+  Address localCallers;
+  /** Address on which other relays send; it identifies this relay to them. */
   Address localPeers;
   TimerQueue timers;
+  /** Next id of a connection or exchange. Ids are also the keys of their timers
+   * and of their sockets in the poller. */
   std::uint64_t nextId;
   std::unordered_map<std::uint64_t, std::unique_ptr<CallerConnection>> callers;
   std::unordered_map<std::uint64_t, std::unique_ptr<ReplicaConnection>>
     connections;
   std::unordered_map<std::uint64_t, ExchangePtr> exchanges;
-  /** Idle connections by replica; the latest used last. */
-  std::unordered_map<std::string, std::vector<std::uint64_t>> idle;
-  /** Requests in flight from here at plain replicas. */
+  /** Ids of idle connections by replica; the most recently used is last. */
+  std::unordered_map<std::string, std::vector<std::uint64_t>> idleConnections;
+  /** Number of requests in flight from this relay at each replica of a plain
+   * service. */
   std::unordered_map<std::string, std::uint32_t> plainLoad;
-  /** When each replica was last asked how it does. */
+  /** When each replica was last asked for a report. */
   std::unordered_map<std::string, TimePoint> reportRequestedAt;
 
+  /** The replica list that the loop currently works with. */
   std::shared_ptr<const ReplicaView> view;
   ReplicaHealth health;
   LoadTracker loads;
@@ -355,46 +367,59 @@
   CrashWatch crashWatch;
   CrashLedger crashes;
   ServedContents servedContents;
-  /** What was last taken over of the quarantine in the store. */
+  /** The quarantine of the store that was last merged into crashes. */
   std::shared_ptr<const std::vector<Fingerprint>> lastStoredQuarantine;
-  /** When the present round of the line began. */
+  /** When the current round of the wait queue began. */
   TimePoint roundStartedAt{};
-  /** This life of this process, as it names itself to other relays. */
+  /** Random number of this process's incarnation, sent to other relays. */
   std::uint64_t ownIncarnation;
-  /** The latest word of another relay. */
+  /** From the latest status message of another relay. */
   struct PeerState
   {
+    /** Sent back to that relay with the next status message. */
     PeerEcho echo;
     std::string zone;
     TimePoint receivedAt;
+    /** It is a store reader. */
     bool polls = false;
+    /** Its latest poll failed. */
     bool pollsFail = false;
   };
+  /** Relays from which a status message was received within kPeerTimeout. */
   std::map<Address, PeerState> knownPeers;
-  /** Some relay knows its configuration to be the newest. */
+  /** When another relay last reported a proof of its configuration that is
+   * recent enough to send requests with an API key. */
   TimePoint peerProvedFreshAt{};
+  /** Lost and slow replicas, as reported by other relays. */
   LossReports reports;
-  /** Replicas that leave, and since when this relay knows. */
+  /** Draining replicas, and when this relay learned of it. */
   std::map<std::string, TimePoint> drainingSince;
-  /** Replicas of which a relay with a newer list told that they leave. */
+  /** A report from a relay with a newer replica list that a replica is
+   * draining. */
   struct PeerDrainReport
   {
-    /** Version of the teller's list. */
+    /** Version of the sender's list. */
     std::uint64_t list;
     TimePoint receivedAt;
   };
+  /** The latest of these reports, by replica. */
   std::map<std::string, PeerDrainReport> peerDrainReports;
-  /** Replicas whose endpoint has started again, and since when this relay
-   * knows. */
+  /** Replicas whose endpoint has restarted, and when this relay learned of it.
+   * The id names the incarnation before the restart. */
   std::map<std::string, TimePoint> restartedReplicas;
+  /** Time of the current iteration of the loop. */
   TimePoint now{};
   TimePoint startedAt{};
-  TimePoint regularAt{};
-  std::uint32_t regularCount = 0;
+  TimePoint nextPeriodicAt{};
+  /** Number of runs of runPeriodicTasks. */
+  std::uint32_t periodicRuns = 0;
 
+  /** Protects posted. */
   std::mutex postGuard;
+  /** Work that the next iteration of the loop runs. */
   std::vector<std::function<void()>> posted;
   std::atomic<bool> stopping{ false };
+  /** Size of exchanges, readable from any thread. */
   std::atomic<std::size_t> openCount{ 0 };
   std::thread thread;
 };
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -1,5 +1,4 @@
-// Datagrams between relays: what each has in flight, and which replicas it
-// takes to be dead.
+// Datagrams between relays: status messages and replica list updates.
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -22,16 +21,18 @@
 
 namespace {
 
-/** Largest datagram that is sent and taken in. */
-constexpr std::size_t kMostBytes = std::size_t{ 32 } * 1024;
+/** Largest datagram that is sent or received, in bytes. */
+constexpr std::size_t kMaxDatagramBytes = std::size_t{ 32 } * 1024;
 
 constexpr std::uint64_t kBytesPerKilobyte = 1'000;
 
-/** A relay that looks at the store and was not heard for this long, three words
- * of its zone, does not count: another one looks in its place. */
-constexpr Duration kReaderSilence = std::chrono::milliseconds{ 700 };
+/** A store reader that has sent no status message for this long, three
+ * intervals within its zone, no longer counts as one: another relay polls in
+ * its place. */
+constexpr Duration kReaderTimeout = std::chrono::milliseconds{ 700 };
 
-/** The number with which each datagram begins. */
+/** Returns the format version of a datagram, its first field; 0 if there is
+ * none. */
 std::uint32_t
 formatOf(const msgpack::object& aDatagram)
 {
@@ -42,6 +43,7 @@
 
 } // namespace
 
+/** Opens the socket for datagrams. */
 Result<Done>
 RelayLoop::Impl::openPeers()
 {
@@ -64,6 +66,7 @@
   return Done{};
 }
 
+/** Returns this relay's current status message. */
 PeerStatus
 RelayLoop::Impl::ownStatus()
 {
@@ -115,9 +118,9 @@
   return status;
 }
 
-/** Tells all other relays; those of other zones, unless there is news, in every
- * second round: what is told there is work at replicas that are seldom shared,
- * and bytes between zones are dear. */
+/** Sends the status message to all other relays. Unless something has changed,
+ * relays of other zones receive only every second one: the replicas of this
+ * zone are seldom shared with them, and traffic between zones is expensive. */
 void
 RelayLoop::Impl::broadcastStatus(bool aChanged)
 {
@@ -127,11 +130,11 @@
   }
   msgpack::sbuffer bytes;
   msgpack::pack(bytes, this->ownStatus());
-  if (bytes.size() > kMostBytes) {
+  if (bytes.size() > kMaxDatagramBytes) {
     this->shared.metrics.count("peer_words_too_large_total");
     return;
   }
-  const bool all = aChanged || this->regularCount % 2 == 0;
+  const bool all = aChanged || this->periodicRuns % 2 == 0;
   for (const Address& peer : *peers) {
     const auto heard = this->knownPeers.find(peer);
     const bool near = heard == this->knownPeers.end() ||
@@ -142,7 +145,7 @@
   }
 }
 
-/** Sends the word with the peer's own echo behind it. */
+/** Sends a datagram, followed by the PeerEcho for its addressee. */
 void
 RelayLoop::Impl::sendDatagram(const Address& aPeer,
                               std::string_view aDatagram) const
@@ -156,7 +159,7 @@
   bytes.write(aDatagram.data(), aDatagram.size());
   msgpack::pack(
     bytes, heard == this->knownPeers.end() ? PeerEcho{} : heard->second.echo);
-  // A datagram that is lost is followed by a newer one.
+  // Errors are ignored: the next datagram replaces a lost one.
   static_cast<void>(::sendto(this->peerSocket.get(),
                              bytes.data(),
                              bytes.size(),
@@ -165,14 +168,15 @@
                              sizeof *address));
 }
 
-/** Decides whether this relay looks at the store, and notices that nobody who
- * looks reaches it. */
+/** Decides whether this relay polls the store. Also publishes the number of
+ * other store readers, and the time when all of them report the store as
+ * unavailable. */
 void
-RelayLoop::Impl::chooseReaders()
+RelayLoop::Impl::updateStorePolling()
 {
   std::vector<StoreReader> heard;
   for (const auto& [address, peer] : this->knownPeers) {
-    if (this->now - peer.receivedAt < kReaderSilence) {
+    if (this->now - peer.receivedAt < kReaderTimeout) {
       heard.push_back(
         StoreReader{ address, peer.zone, peer.polls, peer.pollsFail });
     }
@@ -199,14 +203,15 @@
   }
 }
 
-/** Tells the relays of the own zone what changed in the list: in each zone some
- * relay looks. One that misses it hears of the version and reads the list. */
+/** Sends changes of the replica list to the relays of this zone; every zone has
+ * its own store readers. A relay that misses the datagram learns the version of
+ * the list from a status message and reads the list itself. */
 void
 RelayLoop::Impl::sendListDelta(const ReplicaListDelta& aDelta)
 {
   msgpack::sbuffer bytes;
-  msgpack::pack(bytes, updateOf(aDelta));
-  if (bytes.size() > kMostBytes) {
+  msgpack::pack(bytes, toListUpdate(aDelta));
+  if (bytes.size() > kMaxDatagramBytes) {
     this->shared.metrics.count("list_words_too_large_total");
     return;
   }
@@ -217,13 +222,12 @@
   }
 }
 
-/** Answers a relay that is not on the list yet: one that started later read the
- * list with this relay on it. Until all hear each other, each looks at the
- * lease and at the configuration more often: a third of the calls of the first
- * 10 s.
- */
+/** Adds the sender of a status message to the list of relays. A relay that
+ * started later is not on this relay's list yet, but has this one on its own.
+ * Until all relays know each other, each polls the lease and the configuration
+ * more often: that took a third of the store calls in the first 10 s. */
 void
-RelayLoop::Impl::meet(const Address& aSender)
+RelayLoop::Impl::addUnlistedPeer(const Address& aSender)
 {
   const auto known = this->shared.peers.read();
   const bool listed =
@@ -240,17 +244,17 @@
 }
 
 /**
- * Takes over how fresh another relay knows the configuration to be. It had this
- * relay's word of the echoed moment before it spoke, so what it says was so at
- * that moment on this relay's clock less its age, or later: no clock is
- * compared with another one's, and a word that lay in a buffer through a
- * suspension proves only what is old. Relays may therefore ask the store less
- * often: with five of them, each 2.5 s, some relay's proof is half a second
- * old.
+ * Adopts another relay's freshness proof of the configuration. The sender had
+ * received this relay's message with the echoed time before it sent its own.
+ * Its proof is therefore from the echoed time minus the reported age, or later,
+ * on this relay's clock. No clocks of different relays are compared, and a
+ * message that was buffered during a suspension proves only an old state. This
+ * lets relays poll the store less often: with five of them, each polling
+ * every 2.5 s, the latest proof is half a second old.
  */
 void
-RelayLoop::Impl::learnFreshness(const PeerStatus& aStatus,
-                                const PeerEcho& aEcho)
+RelayLoop::Impl::applyPeerFreshness(const PeerStatus& aStatus,
+                                    const PeerEcho& aEcho)
 {
   if (aStatus.configAge >= 0 &&
       Duration{ aStatus.configAge } <= this->gate.keyAge) {
@@ -272,6 +276,7 @@
   return toText(aPeer) + "/" + std::to_string(aIncarnation);
 }
 
+/** Returns the retry budget of the service of a request. */
 SharedRetryBudget&
 RelayLoop::Impl::budgetOf(const Exchange& aExchange)
 {
@@ -279,6 +284,7 @@
     aExchange.service == nullptr ? "" : aExchange.service->name);
 }
 
+/** Applies the status message of another relay. */
 void
 RelayLoop::Impl::onPeerStatus(const PeerStatus& aStatus,
                               const PeerEcho& aEcho,
@@ -303,16 +309,17 @@
   raise(this->shared.peerListVersion, aStatus.list);
   if (aStatus.releasedFence > this->shared.peerReleasedFence) {
     this->shared.peerReleasedFence = aStatus.releasedFence;
-    // Nobody leads: the next look at the lease need not wait for silence.
+    // No relay holds the lease. The next attempt to acquire it need not wait
+    // until its holder has been silent for long enough.
     this->shared.leaderSeenAt = 0;
   }
-  this->learnFreshness(aStatus, aEcho);
+  this->applyPeerFreshness(aStatus, aEcho);
   this->onPeerDraining(aStatus);
   this->onPeerCrashes(aStatus);
   this->onPeerLimits(aStatus);
   const std::string peer = toText(aFrom);
-  // A process that starts again at an address has counted nothing yet. What the
-  // one before it spent still counts.
+  // Counts are kept by incarnation: a process that restarts at the same address
+  // begins at zero, and what its predecessor spent still counts.
   const std::string incarnation = incarnationName(aFrom, aStatus.incarnation);
   for (const RetryRow& row : aStatus.retries) {
     this->budgets.of(row.service)
@@ -320,7 +327,7 @@
   }
   LinkTotals totals;
   for (const LinkRow& row : aStatus.links) {
-    totals.emplace(zonePair(row.one, row.other),
+    totals.emplace(zonePair(row.firstZone, row.secondZone),
                    row.kilobytes * kBytesPerKilobyte);
   }
   this->links.onPeer(incarnation, totals, this->now);
@@ -341,6 +348,8 @@
   }
 }
 
+/** Handles a received datagram. Unknown formats and datagrams of this relay
+ * itself are ignored. */
 void
 RelayLoop::Impl::readDatagram(const char* aBytes,
                               std::size_t aSize,
@@ -351,8 +360,8 @@
   try {
     std::size_t at = 0;
     const msgpack::object_handle first = msgpack::unpack(aBytes, aSize, at);
-    if (formatOf(first.get()) == kListFormat) {
-      if (auto delta = deltaOf(first.get().as<ReplicaListUpdate>())) {
+    if (formatOf(first.get()) == kListUpdateFormat) {
+      if (auto delta = toListDelta(first.get().as<ReplicaListUpdate>())) {
         this->shared.listInbox.push(std::move(*delta));
       }
       return;
@@ -363,19 +372,20 @@
     this->shared.metrics.count("peer_words_unreadable_total");
     return;
   }
-  if (status.format == kPeerFormat &&
+  if (status.format == kPeerStatusFormat &&
       status.incarnation != this->ownIncarnation) {
-    this->meet(aFrom);
+    this->addUnlistedPeer(aFrom);
     this->onPeerStatus(status, echo, aFrom);
   }
 }
 
+/** Receives datagrams, a limited number for each event. */
 void
 RelayLoop::Impl::readPeers()
 {
-  constexpr int kMostAtOnce = 64;
-  std::array<char, kMostBytes> bytes;
-  for (int i = 0; i < kMostAtOnce; ++i) {
+  constexpr int kMaxDatagramsPerEvent = 64;
+  std::array<char, kMaxDatagramBytes> bytes;
+  for (int i = 0; i < kMaxDatagramsPerEvent; ++i) {
     sockaddr_in from{};
     socklen_t fromSize = sizeof from;
     const ssize_t count = ::recvfrom(this->peerSocket.get(),
--- a/src/relay/RelayReplicas.cpp
+++ b/src/relay/RelayReplicas.cpp
@@ -1,4 +1,4 @@
-// Connections to replicas: opening, keeping, reading, closing.
+// Connections to replicas: opening, reusing, reading, closing.
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -15,27 +15,30 @@
 namespace poplartrack {
 namespace {
 
-/** Largest head of an answer. */
-constexpr std::size_t kMostHead = std::size_t{ 64 } * 1024;
+/** Largest head of an answer, in bytes. */
+constexpr std::size_t kMaxAnswerHeadBytes = std::size_t{ 64 } * 1024;
 
-/** Unacknowledged bytes and unanswered keep-alive probes end a connection
- * after this: a path that was cut says nothing by itself. Two seconds is above
- * the repetitions that a lossy link needs and below the stall bound. */
+/** TCP_USER_TIMEOUT in milliseconds: a connection with unacknowledged bytes or
+ * unanswered keep-alive probes is closed after this time. Without it, a broken
+ * network path goes unnoticed. Two seconds leave time for the retransmissions
+ * of a lossy link and are below the stall bound. */
 constexpr int kUserTimeoutMs = 2'000;
 
-/** How long an idle connection is kept when the replica names no time. */
-constexpr Duration kIdleDefault = std::chrono::seconds{ 4 };
+/** How long an idle connection is kept if the replica sends no timeout. */
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds{ 4 };
 
-/** An idle connection is given up this long before the replica would. */
-constexpr Duration kIdleMargin = std::chrono::milliseconds{ 700 };
+/** An idle connection is closed this long before the replica would close it. */
+constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds{ 700 };
 
-/** A request that must not run twice uses only a connection that carried an
- * answer this lately: replicas drop idle connections, and a request that meets
- * the drop ends with an unknown outcome. */
-constexpr Duration kRecent = std::chrono::milliseconds{ 900 };
+/** A request that must not run twice reuses a connection only if it has been
+ * idle for less than this. Replicas close idle connections, and a request that
+ * is sent just then ends with an unknown outcome. */
+constexpr Duration kMaxIdleForSingleRun = std::chrono::milliseconds{ 900 };
 
+/** Makes the kernel detect an unresponsive replica: TCP keep-alive probes every
+ * second, and kUserTimeoutMs. */
 void
-keepWatch(int aFd)
+enableKeepAlive(int aFd)
 {
   const int one = 1;
   ::setsockopt(aFd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
@@ -45,41 +48,45 @@
     aFd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof kUserTimeoutMs);
 }
 
-/** The time that an answer says its connection may stay idle. */
+/** Returns how long the connection of an answer may be idle, according to its
+ * Keep-Alive field and less the margin. */
 Duration
-idleTime(const MessageHead& aHead)
+keepAliveTimeout(const MessageHead& aHead)
 {
   const auto field = aHead.headers.find("keep-alive");
   constexpr std::string_view kTimeout = "timeout=";
   if (!field) {
-    return kIdleDefault;
+    return kDefaultIdleTimeout;
   }
   const std::size_t at = field->find(kTimeout);
   if (at == std::string_view::npos) {
-    return kIdleDefault;
+    return kDefaultIdleTimeout;
   }
   const std::string_view text = field->substr(at + kTimeout.size());
   int seconds = 0;
   std::from_chars(text.data(), text.data() + text.size(), seconds);
-  return std::max<Duration>(std::chrono::seconds{ seconds } - kIdleMargin,
-                            Duration{ 0 });
+  return std::max<Duration>(
+    std::chrono::seconds{ seconds } - kIdleTimeoutMargin, Duration{ 0 });
 }
 
 } // namespace
 
+/** Prepares the connection for the next answer. */
 void
 RelayLoop::Impl::resetParser(ReplicaConnection& aConnection)
 {
-  // Answers have no bound here: what the replica answers is the caller's.
-  aConnection.parser = std::make_unique<ResponseParser>(kMostHead, 0);
-  aConnection.headSeen = false;
-  aConnection.discarding = false;
+  // The body has no limit: the relay does not restrict what a replica answers.
+  aConnection.parser = std::make_unique<ResponseParser>(kMaxAnswerHeadBytes, 0);
+  aConnection.headHandled = false;
+  aConnection.discardingAnswer = false;
 }
 
+/** Returns an idle connection to the replica, or starts to open one.
+ * aRecentOnly limits how long a reused one may have been idle. */
 Result<ReplicaConnection*>
 RelayLoop::Impl::connectionTo(const AttemptTarget& aTarget, bool aRecentOnly)
 {
-  auto& kept = this->idle[aTarget.replica];
+  auto& kept = this->idleConnections[aTarget.replica];
   while (!kept.empty()) {
     const auto found = this->connections.find(kept.back());
     kept.pop_back();
@@ -87,7 +94,7 @@
       continue;
     }
     ReplicaConnection& connection = *found->second;
-    const bool recent = this->now - connection.idleSince < kRecent;
+    const bool recent = this->now - connection.idleSince < kMaxIdleForSingleRun;
     if (connection.idleUntil <= this->now || (aRecentOnly && !recent)) {
       this->closeReplica(connection.id);
       continue;
@@ -108,7 +115,7 @@
   connection->address = aTarget.address;
   connection->watchesWrite = true;
   setNoDelay(connection->fd.get());
-  keepWatch(connection->fd.get());
+  enableKeepAlive(connection->fd.get());
   this->resetParser(*connection);
   if (!this->poller.add(connection->fd.get(), connection->id, true)) {
     return fail(ErrorKind::Network, "epoll takes no more descriptors");
@@ -119,6 +126,7 @@
   return opened;
 }
 
+/** Handles an event of the poller on a connection to a replica. */
 void
 RelayLoop::Impl::onReplicaEvent(ReplicaConnection& aConnection,
                                 const ReadyEvent& aEvent)
@@ -139,25 +147,29 @@
   }
 }
 
+/** Sends the request, or fails the attempt if connecting failed. */
 void
 RelayLoop::Impl::onReplicaConnected(ReplicaConnection& aConnection)
 {
   if (connectError(aConnection.fd.get()) != 0) {
-    this->onReplicaEnd(aConnection.id, false, "not connected");
+    this->onReplicaDisconnected(aConnection.id, false, "not connected");
     return;
   }
   aConnection.state = ReplicaConnection::State::Busy;
   this->flushReplica(aConnection);
 }
 
+/** Writes the request until the socket accepts no more. Refuses it instead if
+ * the configuration has become too old before the first byte. */
 void
 RelayLoop::Impl::flushReplica(ReplicaConnection& aConnection)
 {
   const auto exchange = this->exchanges.find(aConnection.exchange);
-  if (!aConnection.anySent && !aConnection.out.empty() &&
+  if (!aConnection.anySent && !aConnection.output.empty() &&
       exchange != this->exchanges.end() && !this->fresh(*exchange->second)) {
-    // The process may have been suspended since the gate let the request
-    // through; its key may be gone by now. Not a byte of it has left.
+    // The process may have been suspended since the request was admitted, and
+    // its key may have been revoked meanwhile. No byte of the request has been
+    // sent yet.
     Exchange& stale = *exchange->second;
     this->dropAttempt(stale, false);
     this->refuse(
@@ -166,29 +178,31 @@
       true);
     return;
   }
-  while (!aConnection.out.empty()) {
+  while (!aConnection.output.empty()) {
     const ssize_t count = ::send(aConnection.fd.get(),
-                                 aConnection.out.data(),
-                                 aConnection.out.size(),
+                                 aConnection.output.data(),
+                                 aConnection.output.size(),
                                  MSG_NOSIGNAL);
     if (count < 0) {
       if (errno == EAGAIN || errno == EINTR) {
         break;
       }
-      // A reset: what had come before it may still be read.
-      aConnection.out.clear();
-      this->watchReplica(aConnection, false);
+      // The connection was reset. An answer received before may still be read.
+      aConnection.output.clear();
+      this->setReplicaWriteInterest(aConnection, false);
       this->readReplica(aConnection);
       return;
     }
     aConnection.anySent = true;
-    aConnection.out.erase(0, static_cast<std::size_t>(count));
+    aConnection.output.erase(0, static_cast<std::size_t>(count));
   }
-  this->watchReplica(aConnection, !aConnection.out.empty());
+  this->setReplicaWriteInterest(aConnection, !aConnection.output.empty());
 }
 
+/** Sets whether the poller reports that the socket is writable. */
 void
-RelayLoop::Impl::watchReplica(ReplicaConnection& aConnection, bool aWrite)
+RelayLoop::Impl::setReplicaWriteInterest(ReplicaConnection& aConnection,
+                                         bool aWrite)
 {
   if (aConnection.watchesWrite != aWrite) {
     aConnection.watchesWrite = aWrite;
@@ -196,6 +210,7 @@
   }
 }
 
+/** Reads once from a replica and parses the bytes. */
 void
 RelayLoop::Impl::readReplica(ReplicaConnection& aConnection)
 {
@@ -206,67 +221,69 @@
     return;
   }
   if (count < 0 && errno == ETIMEDOUT) {
-    this->onReplicaEnd(aConnection.id, false, "silent", ConnectionEnd::Silent);
+    this->onReplicaDisconnected(
+      aConnection.id, false, "silent", ConnectionEnd::Silent);
     return;
   }
   if (count <= 0) {
-    this->onReplicaEnd(
+    this->onReplicaDisconnected(
       aConnection.id, count == 0, count == 0 ? "closed" : "reset");
     return;
   }
   if (aConnection.state == ReplicaConnection::State::Idle) {
-    // Bytes that no request asked for, such as a second answer: nothing that
-    // follows on this connection could be told apart from them.
+    // Bytes that belong to no request, such as a second answer. Later answers
+    // on this connection could not be told apart from them.
     this->shared.metrics.count("replica_stray_bytes_total");
     this->closeReplica(aConnection.id);
     return;
   }
-  aConnection.in.append(bytes.data(), static_cast<std::size_t>(count));
-  this->feedReplica(aConnection.id);
+  aConnection.input.append(bytes.data(), static_cast<std::size_t>(count));
+  this->parseReplicaInput(aConnection.id);
 }
 
+/** Parses buffered bytes, answer by answer. */
 void
-RelayLoop::Impl::feedReplica(std::uint64_t aConnection)
+RelayLoop::Impl::parseReplicaInput(std::uint64_t aConnection)
 {
   while (true) {
     const auto found = this->connections.find(aConnection);
-    if (found == this->connections.end() || found->second->in.empty() ||
+    if (found == this->connections.end() || found->second->input.empty() ||
         found->second->state != ReplicaConnection::State::Busy) {
       return;
     }
-    if (!this->feedOnce(*found->second)) {
+    if (!this->parseNextAnswer(*found->second)) {
       return;
     }
   }
 }
 
-/** Parses what has come; true when an answer was dropped and another one may
- * follow it. */
+/** Parses buffered bytes of one answer. Returns true if that answer was
+ * discarded and another one may follow it. */
 bool
-RelayLoop::Impl::feedOnce(ReplicaConnection& aConnection)
+RelayLoop::Impl::parseNextAnswer(ReplicaConnection& aConnection)
 {
   const std::uint64_t id = aConnection.id;
   ResponseParser& parser = *aConnection.parser;
-  aConnection.in.erase(0, parser.feed(aConnection.in));
+  aConnection.input.erase(0, parser.feed(aConnection.input));
   const auto found = this->exchanges.find(aConnection.exchange);
   if (found == this->exchanges.end()) {
     this->closeReplica(id);
     return false;
   }
   if (parser.problem() != ParseProblem::None) {
-    this->onReplicaEnd(id, false, "unreadable");
+    this->onReplicaDisconnected(id, false, "unreadable");
     return false;
   }
-  if (parser.is_header_done() && !aConnection.headSeen) {
-    aConnection.headSeen = true;
+  if (parser.is_header_done() && !aConnection.headHandled) {
+    aConnection.headHandled = true;
     const auto echo = parser.head().headers.find(this->names.requestId);
-    // A late or second answer of an earlier request: the id tells.
-    aConnection.discarding = echo && *echo != found->second->requestId;
-    if (!echo && aConnection.answers > 0) {
-      this->onReplicaEnd(id, false, "answer without id");
+    // The id of another request: a late or repeated answer to an earlier one.
+    aConnection.discardingAnswer = echo && *echo != found->second->requestId;
+    if (!echo && aConnection.answersRead > 0) {
+      this->onReplicaDisconnected(id, false, "answer without id");
       return false;
     }
-    if (!aConnection.discarding) {
+    if (!aConnection.discardingAnswer) {
       this->onAnswerHead(*found->second, aConnection);
     } else {
       this->shared.metrics.count("replica_foreign_answers_total");
@@ -275,7 +292,7 @@
       return false;
     }
   }
-  if (aConnection.discarding) {
+  if (aConnection.discardingAnswer) {
     parser.takeBody();
     if (!parser.is_done()) {
       return false;
@@ -283,25 +300,27 @@
     this->resetParser(aConnection);
     return true;
   }
-  if (!parser.unread().empty() && parser.is_header_done()) {
+  if (!parser.unreadBody().empty() && parser.is_header_done()) {
     this->onAnswerBody(*found->second, aConnection);
     if (!this->connections.contains(id)) {
       return false;
     }
   }
   if (parser.is_done()) {
-    ++aConnection.answers;
+    ++aConnection.answersRead;
     this->onAnswerDone(aConnection.exchange, id);
   }
   return false;
 }
 
-/** The connection has ended; cleanly when the replica closed it. */
+/** Handles the end of a connection. aClean says that the replica closed it,
+ * which may be the end of an answer without a length. Otherwise the attempt
+ * fails. */
 void
-RelayLoop::Impl::onReplicaEnd(std::uint64_t aConnection,
-                              bool aClean,
-                              std::string_view aCause,
-                              ConnectionEnd aEnd)
+RelayLoop::Impl::onReplicaDisconnected(std::uint64_t aConnection,
+                                       bool aClean,
+                                       std::string_view aCause,
+                                       ConnectionEnd aEnd)
 {
   const auto found = this->connections.find(aConnection);
   if (found == this->connections.end()) {
@@ -315,11 +334,11 @@
     return;
   }
   ResponseParser& parser = *connection.parser;
-  const bool endsWithIt = aClean && connection.headSeen &&
-                          !connection.discarding && parser.need_eof() &&
-                          parser.problem() == ParseProblem::None &&
-                          !exchange->second->splitter.inside();
-  if (endsWithIt) {
+  const bool endsAtClose = aClean && connection.headHandled &&
+                           !connection.discardingAnswer && parser.need_eof() &&
+                           parser.problem() == ParseProblem::None &&
+                           !exchange->second->splitter.hasPartialEvent();
+  if (endsAtClose) {
     parser.feedEnd();
     if (parser.problem() == ParseProblem::None) {
       this->onAnswerDone(connection.exchange, aConnection);
@@ -331,18 +350,20 @@
     connection.state == ReplicaConnection::State::Connecting;
   this->watchCrash(*exchange->second, aEnd);
   this->onBroken(
-    *exchange->second, failureOf(connecting, connection.headSeen), aCause);
+    *exchange->second, failureOf(connecting, connection.headHandled), aCause);
 }
 
-/** The answer is whole: the connection is kept if nothing speaks against it. */
+/** Keeps the connection for later requests after a complete answer, or closes
+ * it if it cannot be reused safely. */
 void
 RelayLoop::Impl::releaseReplica(ReplicaConnection& aConnection)
 {
   const MessageHead& head = aConnection.parser->head();
-  const Duration keep = idleTime(head);
-  // Bytes left over belong to no request; a request that was answered before
-  // it was written whole would be cut off in the middle of its body.
-  const bool clean = aConnection.in.empty() && aConnection.out.empty() &&
+  const Duration keep = keepAliveTimeout(head);
+  // Unparsed bytes belong to no request. If the answer came before the request
+  // was written completely, the replica would read the next request as the rest
+  // of the body.
+  const bool clean = aConnection.input.empty() && aConnection.output.empty() &&
                      aConnection.parser->keep_alive() && keep > Duration{ 0 } &&
                      aConnection.parser->is_done();
   if (!clean) {
@@ -353,7 +374,7 @@
   aConnection.state = ReplicaConnection::State::Idle;
   aConnection.idleSince = this->now;
   aConnection.idleUntil = this->now + keep;
-  this->idle[aConnection.replica].push_back(aConnection.id);
+  this->idleConnections[aConnection.replica].push_back(aConnection.id);
 }
 
 void
@@ -366,10 +387,11 @@
   this->connections.erase(found);
 }
 
+/** Closes idle connections whose timeout has passed. */
 void
-RelayLoop::Impl::closeStaleIdle(TimePoint aNow)
+RelayLoop::Impl::closeExpiredIdle(TimePoint aNow)
 {
-  for (auto& [replica, kept] : this->idle) {
+  for (auto& [replica, kept] : this->idleConnections) {
     std::erase_if(kept, [&](std::uint64_t aId) {
       const auto found = this->connections.find(aId);
       if (found == this->connections.end()) {
@@ -382,7 +404,7 @@
       return true;
     });
   }
-  std::erase_if(this->idle,
+  std::erase_if(this->idleConnections,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
 }
 
--- a/src/relay/ReplicaConnection.h
+++ b/src/relay/ReplicaConnection.h
@@ -11,36 +11,43 @@
 
 namespace poplartrack {
 
-/** One connection to a replica. It carries one request at a time. */
+/** A connection to a replica. It carries one request at a time. */
 struct ReplicaConnection
 {
   enum class State : std::uint8_t
   {
     Connecting,
+    /** Assigned to a request. */
     Busy,
+    /** Kept open for a later request. */
     Idle,
   };
 
   std::uint64_t id = 0;
   OwnedFd fd;
+  /** Id of the replica. */
   std::string replica;
   Address address;
   State state = State::Connecting;
-  std::string in;
-  std::string out;
+  /** Bytes received but not parsed yet. */
+  std::string input;
+  /** Bytes not yet written to the socket. */
+  std::string output;
   std::unique_ptr<ResponseParser> parser;
+  /** Id of the request in progress; 0 if none. */
   std::uint64_t exchange = 0;
-  /** Some byte of the present request has been given to the socket. From then
-   * on nothing but the replica's own word proves that it did not run. */
+  /** At least one byte of the current request has been passed to the socket.
+   * From then on only the replica's answer can prove that it did not run. */
   bool anySent = false;
+  /** The poller reports when the socket is writable. */
   bool watchesWrite = false;
-  /** The present answer belongs to another request and is dropped. */
-  bool discarding = false;
-  /** The present answer's head was handled. */
-  bool headSeen = false;
-  /** Answers that were read on this connection. */
-  std::uint32_t answers = 0;
-  /** When it is closed if it stays idle. */
+  /** The current answer belongs to another request and is discarded. */
+  bool discardingAnswer = false;
+  /** The head of the current answer has been handled. */
+  bool headHandled = false;
+  /** Number of complete answers received on this connection. */
+  std::uint32_t answersRead = 0;
+  /** When the connection is closed if it is still idle. */
   TimePoint idleUntil{};
   TimePoint idleSince{};
 };
--- a/src/relay/ReplicaListUpdate.cpp
+++ b/src/relay/ReplicaListUpdate.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 ReplicaRow
-rowOf(const Replica& aReplica)
+toRow(const Replica& aReplica)
 {
   ReplicaRow row;
   row.registeredAs = aReplica.registeredAs;
@@ -22,7 +22,7 @@
 }
 
 std::optional<Replica>
-replicaOf(const ReplicaRow& aRow)
+toReplica(const ReplicaRow& aRow)
 {
   const Result<Address> address = addressFromText(aRow.address);
   if (!address) {
@@ -48,14 +48,14 @@
 } // namespace
 
 ReplicaListUpdate
-updateOf(const ReplicaListDelta& aDelta)
+toListUpdate(const ReplicaListDelta& aDelta)
 {
   ReplicaListUpdate update;
   update.after = aDelta.after;
   update.next = aDelta.poll.next;
   update.changed = aDelta.poll.changed;
   for (const Replica& replica : aDelta.poll.present) {
-    update.present.push_back(rowOf(replica));
+    update.present.push_back(toRow(replica));
   }
   update.removed = aDelta.poll.removed;
   for (const UnreadableEntry& entry : aDelta.poll.unreadable) {
@@ -65,14 +65,14 @@
 }
 
 std::optional<ReplicaListDelta>
-deltaOf(const ReplicaListUpdate& aUpdate)
+toListDelta(const ReplicaListUpdate& aUpdate)
 {
   ReplicaListDelta delta;
   delta.after = aUpdate.after;
   delta.poll.next = aUpdate.next;
   delta.poll.changed = aUpdate.changed;
   for (const ReplicaRow& row : aUpdate.present) {
-    std::optional<Replica> replica = replicaOf(row);
+    std::optional<Replica> replica = toReplica(row);
     if (!replica) {
       return std::nullopt;
     }
--- a/src/relay/ReplicaListUpdate.h
+++ b/src/relay/ReplicaListUpdate.h
@@ -11,10 +11,11 @@
 
 namespace poplartrack {
 
-/** Version of the datagram below. It differs from that of any PeerStatus. */
-constexpr std::uint32_t kListFormat = 1'001;
+/** Format version, the datagram's first field. It differs from every
+ * kPeerStatusFormat, which distinguishes the two kinds of datagrams. */
+constexpr std::uint32_t kListUpdateFormat = 1'001;
 
-/** One replica's entry in a datagram. */
+/** A replica in a ReplicaListUpdate. The fields are those of Replica. */
 struct ReplicaRow
 {
   std::string registeredAs;
@@ -25,6 +26,7 @@
   std::uint32_t slots = 1;
   bool draining = false;
   std::string kind;
+  /** Whether layers are assigned to the replica; if not, layers is unused. */
   bool placed = false;
   LayerRange layers;
   std::int64_t weights = 0;
@@ -41,26 +43,28 @@
                  weights);
 };
 
-/** Changes of the replicas' list, from a relay that looked at the store. */
+/** Changes of the replica list, sent by a store reader to the relays of its
+ * availability zone. The fields are those of ReplicaListDelta. */
 struct ReplicaListUpdate
 {
-  std::uint32_t format = kListFormat;
+  std::uint32_t format = kListUpdateFormat;
   std::uint64_t after = 0;
   std::uint64_t next = 0;
   std::uint64_t changed = 0;
   std::vector<ReplicaRow> present;
   std::vector<std::string> removed;
-  /** Names of entries that cannot be read. */
+  /** Names of entries that the sender could not parse. */
   std::vector<std::string> unreadable;
   MSGPACK_DEFINE(format, after, next, changed, present, removed, unreadable);
 };
 
-/** What is told of the news. */
+/** Converts changes of the list to a datagram. */
 ReplicaListUpdate
-updateOf(const ReplicaListDelta& aDelta);
+toListUpdate(const ReplicaListDelta& aDelta);
 
-/** ... and what it says; nothing where an address in it cannot be read. */
+/** Converts a datagram to changes of the list. Returns nullopt if an address in
+ * it cannot be parsed. */
 std::optional<ReplicaListDelta>
-deltaOf(const ReplicaListUpdate& aUpdate);
+toListDelta(const ReplicaListUpdate& aUpdate);
 
 } // namespace poplartrack
