--- a/tests/unit/relay/AcceptLoop.h
+++ b/tests/unit/relay/AcceptLoop.h
@@ -9,8 +9,8 @@
 
 namespace poplartrack::relaytest {
 
-/** A listener whose connections are handled one after the other on a thread of
- * its own; each is closed when its handler returns. */
+/** A listener with a thread that handles its connections one after the other.
+ * Each connection is closed when the handler returns. */
 class AcceptLoop
 {
 public:
@@ -29,6 +29,7 @@
   }
 
   [[nodiscard]] Address address() const { return this->listener.address(); }
+  /** Starts the thread. */
   void start(Handler aHandler)
   {
     this->thread = std::thread(
@@ -52,7 +53,7 @@
   std::thread thread;
 };
 
-/** The value of a field in the head of a request. */
+/** Returns the value of a header field in the head of a request. */
 inline std::string
 headerValue(const std::string& aHead, const std::string& aName)
 {
--- a/tests/unit/relay/EventSplitterTest.cpp
+++ b/tests/unit/relay/EventSplitterTest.cpp
@@ -14,9 +14,9 @@
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].id, 7U);
   EXPECT_EQ(events[0].bytes, "id: 7\ndata: a\n\n");
-  EXPECT_TRUE(splitter.inside());
+  EXPECT_TRUE(splitter.hasPartialEvent());
   EXPECT_EQ(splitter.feed("ta: b\n\n").front().id, 8U);
-  EXPECT_FALSE(splitter.inside());
+  EXPECT_FALSE(splitter.hasPartialEvent());
 }
 
 TEST(EventSplitter, EventsWithoutAnIdAreWholeToo)
--- a/tests/unit/relay/MessageParserTest.cpp
+++ b/tests/unit/relay/MessageParserTest.cpp
@@ -9,8 +9,8 @@
 
 TEST(MessageParser, ReadsABodyWithALengthWhenNoBoundIsSet)
 {
-  // Every answer with a length was refused while the parser was told of no
-  // bound in the way that its documentation suggests.
+  // With the documented way to set no body limit, boost::none, the parser
+  // rejected every answer with a Content-Length.
   ResponseParser parser{ kHead, 0 };
   parser.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
   EXPECT_EQ(parser.problem(), ParseProblem::None);
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -34,7 +34,8 @@
   EXPECT_TRUE(has(got, "X-Id: id-1\r\n"));
   EXPECT_TRUE(has(got, "X-Other: kept\r\n"));
   EXPECT_TRUE(has(got, "X-Expect: one\r\n"));
-  // The account is the key's, whatever the caller says; the key stays here.
+  // The relay derives the account from the API key, whatever the caller sends,
+  // and does not forward the key.
   EXPECT_TRUE(has(got, "X-Account: shop\r\n"));
   EXPECT_FALSE(has(got, "forged"));
   EXPECT_FALSE(has(got, "secret"));
@@ -46,8 +47,8 @@
 
 TEST_F(RelayLoopTest, ARequestRightAfterTheStartWaitsForTheConfiguration)
 {
-  // All relays died and start again. The caller's one return comes before this
-  // one has read the configuration: it is served some ms later, not refused.
+  // After all relays crashed, callers retry once, possibly before a restarted
+  // relay has read the configuration. The request must wait, not be refused.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.startLoop();
   RawSocket caller = this->world.sendRequest("/once/x", "id-1");
@@ -61,8 +62,8 @@
 
 TEST_F(RelayLoopTest, ARefusedCallerIsToldWhenToComeBack)
 {
-  // The configuration is too old to tell whether the key holds, and no other
-  // relay is heard. The caller has 9 s: it is told to wait for up to a third.
+  // The configuration is too old to trust the key, and no other relay is known.
+  // The caller has 9 s, so the advised delay is up to a third of that.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 60 });
   RawSocket caller =
@@ -78,8 +79,8 @@
 
 TEST_F(RelayLoopTest, ALateAnswerToAnotherRequestIsNeverTheCallers)
 {
-  // The replica answers an earlier request a second time, where the answer to
-  // this one is due. The caller must get its own answer and nothing else.
+  // The replica repeats its answer to an earlier request before it answers this
+  // one. The caller must receive only its own answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.sendRequest("/once/x", "id-2");
@@ -93,8 +94,8 @@
 
 TEST_F(RelayLoopTest, BytesBehindAnAnswerEndItsConnection)
 {
-  // A second answer comes behind the first. The next request must not meet it:
-  // it goes out on a new connection.
+  // The replica sends a second answer after the first. The next request must
+  // use a new connection, or its caller would receive that answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.sendRequest("/again/x", "id-1");
@@ -112,9 +113,9 @@
 
 TEST_F(RelayLoopTest, AConnectionLostUnderANonIdempotentRequestIsNotRepeated)
 {
-  // The replica closes the connection once it has read the request: it may
-  // have run. The caller must not be told that it has not, and nobody else may
-  // run it.
+  // The replica closes the connection after it has read the request, which may
+  // therefore have run. The error must not say that it has not run, and no
+  // other replica may receive it.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
@@ -171,8 +172,8 @@
 
 TEST_F(RelayLoopTest, AnAnswerThatIsCutOffDoesNotLookWhole)
 {
-  // The replica's answer names no length and its connection is reset: the
-  // caller must not take what has come for the whole.
+  // The connection ends before the announced length of the answer. The caller
+  // must not take the part for the complete answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.sendRequest("/once/x", "id-1");
@@ -198,8 +199,8 @@
 
 TEST_F(RelayLoopTest, AStreamGoesOnElsewhereAfterItsLastWholeEvent)
 {
-  // The first replica dies in the middle of event 3. The caller gets each
-  // event once and in order, and never part of one.
+  // The first replica crashes in the middle of event 3. The caller must receive
+  // each event once, in order and complete.
   this->world.addReplica("one", "model", this->one.address());
   this->world.addReplica("two", "model", this->one.address());
   this->world.start();
@@ -223,9 +224,9 @@
 
 TEST_F(RelayLoopTest, AStreamIsMovedOffAReplicaThatLeaves)
 {
-  // The replica says that it leaves and will end within seconds, while a long
-  // stream runs there. The caller's stream goes on elsewhere before that, and
-  // nothing of it is lost.
+  // The replica starts to drain, and will exit within seconds, while it runs a
+  // long stream. The stream must resume at another replica before that, without
+  // losing an event.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller = this->world.sendRequest("/stream/x",
@@ -248,9 +249,9 @@
 
 TEST_F(RelayLoopTest, AStreamWhosePlannedMoveIsRefusedGoesOnWhereItIs)
 {
-  // A part of a stream's path says that it leaves. The first replica refuses
-  // the new path, since its part has no room. Nothing has failed yet: the
-  // caller gets the rest from where the stream runs.
+  // The second replica of a stream's path starts to drain, and the first one
+  // refuses the new path because a part of it has no memory left. Nothing has
+  // failed, so the stream must continue on its old path.
   this->world.addReplica("one", "model", this->one.address());
   this->world.addReplica("two", "model", this->two.address());
   this->world.replicas["one"].layers = LayerRange{ 0, 5 };
@@ -266,7 +267,7 @@
   this->world.replicas["three"].layers = LayerRange{ 5, 10 };
   this->world.replicas["two"].draining = true;
   this->world.publishReplicas(2);
-  // Two refusals: the first one has been taken in by then.
+  // When the second order arrives, the relay has handled the first refusal.
   while (this->world.repaths < 2) {
     std::this_thread::yield();
   }
@@ -276,10 +277,9 @@
 
 TEST_F(RelayLoopTest, AStreamStaysAtALeavingReplicaWhileThereIsNoRetry)
 {
-  // The first replica of a long stream says that it leaves, and serves on. All
-  // retries have been spent. Another replica has a whole copy, but taking the
-  // stream there would be one more: the caller gets the rest from where it
-  // runs.
+  // The first replica of a long stream drains and still serves. Another replica
+  // holds all layers, but resuming there counts as a retry and the retry budget
+  // is used up. The stream must continue where it runs.
   this->world.drain = Duration{ 0 };
   this->world.retryRatio = 0;
   this->world.retrySlack = 0;
@@ -306,10 +306,10 @@
 
 TEST_F(RelayLoopTest, AStreamGoesOnElsewhereWhenItsReplicaHasStartedAgain)
 {
-  // The replica of a stream dies without a word and starts again under its
-  // name; the list shows the new start, which holds nothing. The connection is
-  // silent, and nobody names the old start as lost. The caller gets the rest of
-  // its stream from another replica, after the last event that it has.
+  // The replica of a stream crashes without closing its connection and restarts
+  // under its name; the list shows the new incarnation, which has no layers. No
+  // relay or replica reports the old one as lost. The stream must resume at
+  // another replica after the last event that the caller has.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller =
@@ -330,9 +330,9 @@
 
 TEST_F(RelayLoopTest, ARequestAtAReplicaThatHasStartedAgainIsNotCalledNotRun)
 {
-  // A request that must not run twice is at a replica that starts again under
-  // its name. It may have run there: the caller hears at once that this is not
-  // known, and the new start is not sent it.
+  // A replica restarts under its name while it has a request that must not run
+  // twice. The request may have run there: the caller must learn at once that
+  // the outcome is unknown, and the new incarnation must not receive it.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.sendRequest("/once/x", "id-1");
@@ -345,8 +345,8 @@
 
 TEST_F(RelayLoopTest, ARestartedReplicaIsAskedForByItsRegisteredName)
 {
-  // The new start is another replica in all that is known of it, but answers
-  // only to the name under which it is registered.
+  // The new incarnation has a replica id of its own, but accepts only requests
+  // for the name under which it is registered.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.restartReplica("one");
   this->world.start();
@@ -379,7 +379,7 @@
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   caller.close();
-  // Returns only because the relay closes its side.
+  // This returns only when the relay closes its side.
   EXPECT_EQ(replica.readToEnd(), "");
 }
 
@@ -387,15 +387,15 @@
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  std::promise<void> behind;
-  std::promise<void> goesOn;
-  this->world.loop->post([&behind, &goesOn] {
-    behind.set_value();
-    goesOn.get_future().wait();
+  std::promise<void> blocked;
+  std::promise<void> resume;
+  this->world.loop->post([&blocked, &resume] {
+    blocked.set_value();
+    resume.get_future().wait();
   });
-  behind.get_future().wait();
+  blocked.get_future().wait();
   this->world.sendRequest("/once/x", "id-1").close();
-  goesOn.set_value();
+  resume.set_value();
   RawSocket caller = this->world.sendRequest("/once/x", "id-2");
   RawSocket replica = this->one.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Id: id-2\r\n"));
@@ -403,8 +403,8 @@
 
 TEST_F(RelayLoopTest, AnEarlyAnswerToALongBodyEndsItsConnection)
 {
-  // The replica answers after the head and would read on: the next request's
-  // bytes would be taken for the rest of this body.
+  // The replica answers before it has read the body. On the same connection, it
+  // would take the next request for the rest of this body.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.config->limits.bodyBytes = 64U << 20U;
   this->world.start();
@@ -426,8 +426,8 @@
 
 TEST_F(RelayLoopTest, AKeyIsNotTrustedOnceTheConfigurationMayHaveChanged)
 {
-  // The relay has been cut off from the store for longer than a revoked key
-  // may live. The caller is told to come back, not that its key is wrong.
+  // The relay has been cut off from the store for longer than a revoked key may
+  // be accepted. The error must advise a retry, not call the key wrong.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 10 });
   RawSocket caller = this->world.sendRequest("/once/x", "id-1");
@@ -456,8 +456,8 @@
 
 TEST_F(RelayLoopTest, AHiddenSecondRequestReachesNobody)
 {
-  // Two framings in one head: what one reader takes for the body, another
-  // takes for a request.
+  // Request smuggling: with both Content-Length and chunked encoding, one
+  // parser takes for the body what another takes for a second request.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.caller();
@@ -493,8 +493,8 @@
 
 TEST_F(RelayLoopTest, AStoppingRelayEndsItsConnectionsAfterTheirAnswers)
 {
-  // The relay was told to stop while a stream was under way: the stream comes
-  // whole, its connection ends, and what comes later is refused as not run.
+  // The relay is stopped during a stream. The stream must complete, then its
+  // connection closes; later requests are refused as not run.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller = this->world.caller();
@@ -526,44 +526,44 @@
 
 TEST(RelayPeers, AReplicaThatAnotherRelayKnowsToLeaveGetsNoNewWork)
 {
-  // One relay's look at the list hangs: it still has a replica as ready that
-  // has said since that it leaves. Another relay has the newer list and tells
-  // so. A caller of the first relay is served by the replica that stays.
+  // One relay's poll of the list hangs, so its list still shows a draining
+  // replica as ready. Another relay has the newer list and reports the drain. A
+  // caller of the first relay must be served by the other replica.
   RawListener leaving;
   RawListener staying;
-  RelayWorld knows;
-  RelayWorld behind;
-  for (RelayWorld* world : { &knows, &behind }) {
+  RelayWorld upToDate;
+  RelayWorld outdated;
+  for (RelayWorld* world : { &upToDate, &outdated }) {
     world->addReplica("one", "plain", leaving.address());
     world->start();
   }
-  knows.replicas["one"].draining = true;
-  knows.publishReplicas(7);
-  behind.addReplica("two", "plain", staying.address());
-  behind.replicas["two"].zone = "b";
-  behind.publishReplicas(2);
-  knows.shared.peers.replace(std::make_shared<const std::vector<Address>>(
-    std::vector<Address>{ behind.loop->peersAddress() }));
+  upToDate.replicas["one"].draining = true;
+  upToDate.publishReplicas(7);
+  outdated.addReplica("two", "plain", staying.address());
+  outdated.replicas["two"].zone = "b";
+  outdated.publishReplicas(2);
+  upToDate.shared.peers.replace(std::make_shared<const std::vector<Address>>(
+    std::vector<Address>{ outdated.loop->peersAddress() }));
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (behind.shared.peerListVersion < 7 && runtimeNow() < latest) {
+  while (outdated.shared.peerListVersion < 7 && runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  ASSERT_EQ(behind.shared.peerListVersion, 7U);
-  RawSocket caller = behind.sendRequest("/once/x", "id-1");
+  ASSERT_EQ(outdated.shared.peerListVersion, 7U);
+  RawSocket caller = outdated.sendRequest("/once/x", "id-1");
   RawSocket replica = staying.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
 }
 
 TEST(RelayPeers, WhatALookBroughtReachesTheRelaysOfTheZone)
 {
-  // One relay's look finds that a replica leaves. The other does not look: it
-  // hears of it, with all that the entry says.
+  // One relay polls the list and finds a draining replica. The other relay does
+  // not poll: it must receive the entry with all its fields.
   RelayWorld reader;
-  RelayWorld hears;
+  RelayWorld receiver;
   reader.start();
-  hears.start();
+  receiver.start();
   reader.shared.peers.replace(std::make_shared<const std::vector<Address>>(
-    std::vector<Address>{ hears.loop->peersAddress() }));
+    std::vector<Address>{ receiver.loop->peersAddress() }));
   Replica replica;
   replica.registeredAs = "one";
   replica.startedAtMs = 7;
@@ -573,49 +573,49 @@
   replica.kind = "fast";
   replica.layers = LayerRange{ 3, 5 };
   replica.draining = true;
-  ReplicaListDelta told;
-  told.after = 4;
-  told.poll.next = 5;
-  told.poll.present.push_back(replica);
-  told.poll.removed = { "two" };
+  ReplicaListDelta delta;
+  delta.after = 4;
+  delta.poll.next = 5;
+  delta.poll.present.push_back(replica);
+  delta.poll.removed = { "two" };
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  std::vector<ReplicaListDelta> heard;
-  while (heard.empty() && runtimeNow() < latest) {
-    // Told to relays that are heard; a word comes each 200 ms.
-    reader.shared.sendListDelta(told);
+  std::vector<ReplicaListDelta> received;
+  while (received.empty() && runtimeNow() < latest) {
+    // Only known peers receive it; a status message is sent every 200 ms.
+    reader.shared.sendListDelta(delta);
     std::this_thread::yield();
-    heard = hears.shared.listInbox.take();
+    received = receiver.shared.listInbox.take();
   }
-  ASSERT_FALSE(heard.empty());
-  EXPECT_EQ(heard[0].after, 4U);
-  EXPECT_EQ(heard[0].poll.next, 5U);
-  EXPECT_EQ(heard[0].poll.removed, std::vector<std::string>{ "two" });
-  ASSERT_EQ(heard[0].poll.present.size(), 1U);
-  EXPECT_EQ(heard[0].poll.present[0], replica);
+  ASSERT_FALSE(received.empty());
+  EXPECT_EQ(received[0].after, 4U);
+  EXPECT_EQ(received[0].poll.next, 5U);
+  EXPECT_EQ(received[0].poll.removed, std::vector<std::string>{ "two" });
+  ASSERT_EQ(received[0].poll.present.size(), 1U);
+  EXPECT_EQ(received[0].poll.present[0], replica);
 }
 
 TEST(RelayPeers, ARelayWithoutTheStoreTakesOverAnothersProof)
 {
-  // One relay hears the store, the other does not. The second serves on with
-  // what the first tells, dated no later than the first can know.
-  RelayWorld hears;
-  RelayWorld deaf;
-  hears.start();
-  deaf.start(std::chrono::hours{ 1 });
-  const auto tell = [](RelayWorld& aFrom, const RelayWorld& aTo) {
+  // One relay reaches the store, the other does not. The second must adopt the
+  // freshness proof of the first, and not date it later than the first does.
+  RelayWorld connected;
+  RelayWorld cutOff;
+  connected.start();
+  cutOff.start(std::chrono::hours{ 1 });
+  const auto setPeer = [](RelayWorld& aFrom, const RelayWorld& aTo) {
     aFrom.shared.peers.replace(std::make_shared<const std::vector<Address>>(
       std::vector<Address>{ aTo.loop->peersAddress() }));
   };
-  tell(hears, deaf);
-  tell(deaf, hears);
-  // Bounded, so that a fault ends the test; a word comes each 200 ms.
+  setPeer(connected, cutOff);
+  setPeer(cutOff, connected);
+  // The limit ends a failing test; a status message is sent every 200 ms.
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (deaf.shared.freshness.age() > std::chrono::minutes{ 2 } &&
+  while (cutOff.shared.freshness.age() > std::chrono::minutes{ 2 } &&
          runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  EXPECT_LT(deaf.shared.freshness.age(), std::chrono::minutes{ 2 });
-  EXPECT_GE(deaf.shared.freshness.age(), hears.shared.freshness.age());
+  EXPECT_LT(cutOff.shared.freshness.age(), std::chrono::minutes{ 2 });
+  EXPECT_GE(cutOff.shared.freshness.age(), connected.shared.freshness.age());
 }
 
 } // namespace
--- a/tests/unit/relay/RelayWorld.h
+++ b/tests/unit/relay/RelayWorld.h
@@ -19,6 +19,7 @@
 using harness::RawListener;
 using harness::RawSocket;
 
+/** Header names as the tests send and expect them. */
 inline RelayHeaderNames
 names()
 {
@@ -47,8 +48,8 @@
   return names;
 }
 
-/** A relay between raw callers and raw replicas on loopback. Replicas are
- * listeners that the test answers for by hand. */
+/** Test fixture: a relay on the loopback interface, between sockets that the
+ * test drives as callers and replicas. */
 class RelayWorld
 {
 public:
@@ -75,6 +76,7 @@
     ::close(this->logFd);
   }
 
+  /** Adds a replica to the list that the next publishReplicas publishes. */
   void addReplica(const std::string& aId,
                   const std::string& aService,
                   const Address& aAddress)
@@ -91,27 +93,28 @@
     }
     this->replicas.emplace(aId, replica);
   }
-  /** Publishes configuration and replicas and starts the relay; its
-   * configuration was last known to be the newest this long ago. */
+  /** Publishes the configuration and the replicas and starts the relay.
+   * aProofAge is the age of the proof that the configuration is the newest. */
   void start(Duration aProofAge = Duration{ 0 })
   {
     this->publishConfig(aProofAge);
     this->publishReplicas(1);
     this->startLoop();
   }
+  /** Publishes the configuration with a freshness proof of this age. */
   void publishConfig(Duration aProofAge = Duration{ 0 })
   {
     this->config->sortRoutes();
     this->shared.config.replace(this->config);
     this->shared.freshness.prove(this->shared.clock.now() - aProofAge);
   }
-  /** Starts the relay with what has been published. */
+  /** Starts the relay without publishing anything. */
   void startLoop()
   {
     RelaySettings settings;
     settings.name = "relay-1";
     settings.zone = "a";
-    // Above what any test takes, also on a busy machine.
+    // Longer than any test takes, even on a busy machine.
     settings.configDeadline = std::chrono::minutes{ 10 };
     settings.drain = this->drain;
     settings.retryRatio = this->retryRatio;
@@ -132,6 +135,7 @@
     ASSERT_TRUE(made);
     this->loop = std::move(made).value();
   }
+  /** Publishes the replica list with this version. */
   void publishReplicas(std::uint64_t aVersion)
   {
     ReplicaView view = ReplicaView::of(aVersion, this->replicas);
@@ -139,7 +143,8 @@
     this->shared.replicas.replace(
       std::make_shared<const ReplicaView>(std::move(view)));
   }
-  /** The endpoint starts again under its name, and holds no layers. */
+  /** Replaces a replica by a new incarnation of its endpoint, without layers.
+   */
   void restartReplica(const std::string& aName)
   {
     Replica& replica = this->replicas.at(aName);
@@ -147,12 +152,13 @@
     replica.id = replicaId(aName, replica.startedAtMs);
     replica.layers.reset();
   }
+  /** Opens a connection of a caller. */
   [[nodiscard]] RawSocket caller() const
   {
     return RawSocket::connectTo(this->loop->callersAddress());
   }
 
-  /** A caller on a connection of its own that has sent a request. */
+  /** Opens a connection of a caller and sends a request on it. */
   [[nodiscard]] RawSocket sendRequest(const std::string& aPath,
                                       const std::string& aId,
                                       const std::string& aMore = {},
@@ -163,7 +169,7 @@
     return caller;
   }
 
-  /** A request with what a caller of good conduct sends. */
+  /** Returns a valid request with an API key. */
   static std::string request(const std::string& aPath,
                              const std::string& aId,
                              const std::string& aMore = {},
@@ -174,7 +180,7 @@
     text += "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n";
     return text + aBody;
   }
-  /** A replica's whole answer. */
+  /** Returns a complete answer of a replica. */
   static std::string answer(const std::string& aId,
                             const std::string& aBody,
                             const std::string& aStatus = "200 OK",
@@ -184,11 +190,13 @@
            "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" +
            aBody;
   }
+  /** Returns the head of a chunked answer. */
   static std::string streamHead(const std::string& aId)
   {
     return "HTTP/1.1 200 OK\r\nX-Id: " + aId +
            "\r\nX-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n";
   }
+  /** Returns a chunk with one event. */
   static std::string event(int aId)
   {
     const std::string text = "id: " + std::to_string(aId) + "\ndata: x\n\n";
@@ -202,9 +210,10 @@
   RelayShared shared;
   std::shared_ptr<RelayConfig> config;
   std::map<std::string, Replica> replicas;
-  /** Orders to move a request that replicas were given; all are refused. */
+  /** Number of orders to move a request to another path. Replicas refuse them
+   * all. */
   std::atomic<int> repaths{ 0 };
-  /** Settings that tests change before the start. */
+  /** Settings that tests may change before the start. */
   Duration drain = std::chrono::milliseconds{ 2'000 };
   double retryRatio = 0.2;
   double retrySlack = 100;
@@ -234,7 +243,7 @@
     route.host = "shop.example";
     route.prefix = aPrefix;
     route.rule = aRule;
-    // Above what any test takes, also on a busy machine.
+    // Longer than any test takes, even on a busy machine.
     route.timeout = std::chrono::seconds{ 60 };
     route.objective = std::chrono::milliseconds{ 500 };
     route.targets = { { aService, 1 } };
