--- a/tests/unit/relay/EventSplitterTest.cpp
+++ b/tests/unit/relay/EventSplitterTest.cpp
@@ -7,7 +7,7 @@
 namespace poplartrack {
 namespace {
 
-TEST(EventSplitter, KeepsAnUnfinishedEventBack)
+TEST(EventSplitter, HoldsBackAnIncompleteEvent)
 {
   EventSplitter splitter;
   const auto events = splitter.feed("id: 7\ndata: a\n\nid: 8\nda");
@@ -19,7 +19,7 @@
   EXPECT_FALSE(splitter.hasPartialEvent());
 }
 
-TEST(EventSplitter, EventsWithoutAnIdAreWholeToo)
+TEST(EventSplitter, AnEventNeedsNoId)
 {
   EventSplitter splitter;
   const auto events = splitter.feed("version: 3\ndata: x\r\n\r\n");
@@ -28,7 +28,7 @@
 }
 
 RC_GTEST_PROP(EventSplitter,
-              GivesTheSameEventsWhereverTheBytesAreCut,
+              SplitsIndependentlyOfReadBoundaries,
               (const std::vector<std::uint8_t>& aCuts))
 {
   std::string text;
--- a/tests/unit/relay/MessageParserTest.cpp
+++ b/tests/unit/relay/MessageParserTest.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kHead = 4'096;
 
-TEST(MessageParser, ReadsABodyWithALengthWhenNoBoundIsSet)
+TEST(MessageParser, ReadsABodyWithALengthWhenNoLimitIsSet)
 {
   // With the documented way to set no body limit, boost::none, the parser
   // rejected every answer with a Content-Length.
@@ -18,7 +18,7 @@
   EXPECT_EQ(parser.takeBody(), "hello");
 }
 
-TEST(MessageParser, LeavesWhatFollowsAMessage)
+TEST(MessageParser, DoesNotConsumeBytesAfterAMessage)
 {
   RequestParser parser{ kHead, 100 };
   const std::string bytes =
@@ -27,7 +27,7 @@
   EXPECT_TRUE(parser.is_done());
 }
 
-TEST(MessageParser, RefusesTwoFramingsInOneHead)
+TEST(MessageParser, RejectsTwoFramingsInOneHead)
 {
   RequestParser both{ kHead, 100 };
   both.feed("POST / HTTP/1.1\r\nContent-Length: 4\r\n"
@@ -39,7 +39,7 @@
   EXPECT_EQ(twice.problem(), ParseProblem::Malformed);
 }
 
-TEST(MessageParser, KeepsToItsBounds)
+TEST(MessageParser, EnforcesItsLimits)
 {
   RequestParser head{ 64, 100 };
   head.feed("POST / HTTP/1.1\r\nX: " + std::string(200, 'x'));
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -22,7 +22,7 @@
   RawListener two;
 };
 
-TEST_F(RelayLoopTest, ForwardsARequestAndItsAnswerWhole)
+TEST_F(RelayLoopTest, ForwardsARequestAndItsAnswer)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
@@ -60,7 +60,7 @@
   EXPECT_TRUE(caller.readUntil("hello").starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
-TEST_F(RelayLoopTest, ARefusedCallerIsToldWhenToComeBack)
+TEST_F(RelayLoopTest, ARefusalAdvisesWhenToRetry)
 {
   // The configuration is too old to trust the key, and no other relay is known.
   // The caller has 9 s, so the advised delay is up to a third of that.
@@ -77,7 +77,7 @@
   EXPECT_LE(seconds, 3.0);
 }
 
-TEST_F(RelayLoopTest, ALateAnswerToAnotherRequestIsNeverTheCallers)
+TEST_F(RelayLoopTest, ALateAnswerToAnotherRequestIsDiscarded)
 {
   // The replica repeats its answer to an earlier request before it answers this
   // one. The caller must receive only its own answer.
@@ -92,7 +92,7 @@
   EXPECT_FALSE(has(answer, "other"));
 }
 
-TEST_F(RelayLoopTest, BytesBehindAnAnswerEndItsConnection)
+TEST_F(RelayLoopTest, BytesAfterAnAnswerCloseItsConnection)
 {
   // The replica sends a second answer after the first. The next request must
   // use a new connection, or its caller would receive that answer.
@@ -111,7 +111,8 @@
   EXPECT_FALSE(has(caller.readUntil("own again"), "second"));
 }
 
-TEST_F(RelayLoopTest, AConnectionLostUnderANonIdempotentRequestIsNotRepeated)
+TEST_F(RelayLoopTest,
+       ANonIdempotentRequestIsNotRepeatedAfterItsConnectionIsLost)
 {
   // The replica closes the connection after it has read the request, which may
   // therefore have run. The error must not say that it has not run, and no
@@ -126,7 +127,7 @@
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "502 Bad Gateway"));
 }
 
-TEST_F(RelayLoopTest, AnIdempotentRequestIsTriedElsewhereOnce)
+TEST_F(RelayLoopTest, AnIdempotentRequestIsRetriedOnceAtAnotherReplica)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
@@ -141,7 +142,7 @@
   EXPECT_TRUE(has(caller.readUntil("done"), "200 OK"));
 }
 
-TEST_F(RelayLoopTest, WhatAReplicaRefusedWithoutRunningItGoesElsewhere)
+TEST_F(RelayLoopTest, ARequestRefusedAsNotRunIsSentToAnotherReplica)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
@@ -157,7 +158,7 @@
   EXPECT_TRUE(has(caller.readUntil("done"), "200 OK"));
 }
 
-TEST_F(RelayLoopTest, ASuccessWithoutAReplicasStampIsNoSuccess)
+TEST_F(RelayLoopTest, ASuccessWithoutAReplicasStampIsAnError)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
@@ -170,7 +171,7 @@
   EXPECT_FALSE(has(answer, "spoiled"));
 }
 
-TEST_F(RelayLoopTest, AnAnswerThatIsCutOffDoesNotLookWhole)
+TEST_F(RelayLoopTest, ATruncatedAnswerIsAnError)
 {
   // The connection ends before the announced length of the answer. The caller
   // must not take the part for the complete answer.
@@ -197,7 +198,7 @@
   EXPECT_TRUE(has(caller.readUntil("whole"), "Content-Length: 5\r\n"));
 }
 
-TEST_F(RelayLoopTest, AStreamGoesOnElsewhereAfterItsLastWholeEvent)
+TEST_F(RelayLoopTest, AStreamResumesElsewhereAfterItsLastCompleteEvent)
 {
   // The first replica crashes in the middle of event 3. The caller must receive
   // each event once, in order and complete.
@@ -222,7 +223,7 @@
   EXPECT_FALSE(has(rest, "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamIsMovedOffAReplicaThatLeaves)
+TEST_F(RelayLoopTest, AStreamIsMovedOffADrainingReplica)
 {
   // The replica starts to drain, and will exit within seconds, while it runs a
   // long stream. The stream must resume at another replica before that, without
@@ -247,7 +248,7 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamWhosePlannedMoveIsRefusedGoesOnWhereItIs)
+TEST_F(RelayLoopTest, AStreamWhosePlannedMoveIsRefusedStaysWhereItIs)
 {
   // The second replica of a stream's path starts to drain, and the first one
   // refuses the new path because a part of it has no memory left. Nothing has
@@ -275,7 +276,7 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamStaysAtALeavingReplicaWhileThereIsNoRetry)
+TEST_F(RelayLoopTest, AStreamStaysAtADrainingReplicaWithoutRetryBudget)
 {
   // The first replica of a long stream drains and still serves. Another replica
   // holds all layers, but resuming there counts as a retry and the retry budget
@@ -304,7 +305,7 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamGoesOnElsewhereWhenItsReplicaHasStartedAgain)
+TEST_F(RelayLoopTest, AStreamResumesElsewhereWhenItsReplicaHasRestarted)
 {
   // The replica of a stream crashes without closing its connection and restarts
   // under its name; the list shows the new incarnation, which has no layers. No
@@ -328,7 +329,7 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, ARequestAtAReplicaThatHasStartedAgainIsNotCalledNotRun)
+TEST_F(RelayLoopTest, ARequestAtARestartedReplicaHasAnUnknownOutcome)
 {
   // A replica restarts under its name while it has a request that must not run
   // twice. The request may have run there: the caller must learn at once that
@@ -343,7 +344,7 @@
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "502 Bad Gateway"));
 }
 
-TEST_F(RelayLoopTest, ARestartedReplicaIsAskedForByItsRegisteredName)
+TEST_F(RelayLoopTest, ARestartedReplicaIsAddressedByItsRegisteredName)
 {
   // The new incarnation has a replica id of its own, but accepts only requests
   // for the name under which it is registered.
@@ -355,7 +356,7 @@
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: one\r\n"));
 }
 
-TEST_F(RelayLoopTest, AStreamWithoutAnotherReplicaIsCutNotEnded)
+TEST_F(RelayLoopTest, AStreamThatCannotResumeIsCutNotCompleted)
 {
   this->world.addReplica("one", "model", this->one.address());
   this->world.config->routes["shop.example"][2].resumable = false;
@@ -370,7 +371,7 @@
   EXPECT_FALSE(has(caller.readToEnd(), "0\r\n\r\n"));
 }
 
-TEST_F(RelayLoopTest, ACallerThatLeavesEndsTheReplicasWork)
+TEST_F(RelayLoopTest, ACallerThatDisconnectsStopsTheReplicasWork)
 {
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
@@ -383,7 +384,8 @@
   EXPECT_EQ(replica.readToEnd(), "");
 }
 
-TEST_F(RelayLoopTest, ARequestWhoseCallerLeftWhileTheRelayWasBehindIsNotSentOn)
+TEST_F(RelayLoopTest,
+       ARequestWhoseCallerDisconnectedWhileTheRelayLaggedIsNotSent)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
@@ -401,7 +403,7 @@
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Id: id-2\r\n"));
 }
 
-TEST_F(RelayLoopTest, AnEarlyAnswerToALongBodyEndsItsConnection)
+TEST_F(RelayLoopTest, AnEarlyAnswerToALongBodyClosesItsConnection)
 {
   // The replica answers before it has read the body. On the same connection, it
   // would take the next request for the rest of this body.
@@ -454,7 +456,7 @@
   EXPECT_TRUE(has(caller.readUntil("}\n"), "401 Unauthorized"));
 }
 
-TEST_F(RelayLoopTest, AHiddenSecondRequestReachesNobody)
+TEST_F(RelayLoopTest, ASmuggledRequestIsRejected)
 {
   // Request smuggling: with both Content-Length and chunked encoding, one
   // parser takes for the body what another takes for a second request.
@@ -467,7 +469,7 @@
   EXPECT_TRUE(has(caller.readToEnd(), "400 Bad Request"));
 }
 
-TEST_F(RelayLoopTest, TellsACallerWhichBoundItsRequestBroke)
+TEST_F(RelayLoopTest, ReportsWhichLimitARequestExceeds)
 {
   this->world.config->limits.headerBytes = 1'024;
   this->world.config->limits.bodyBytes = 8;
@@ -482,7 +484,7 @@
   EXPECT_TRUE(has(nonsense.readToEnd(), "400 "));
 }
 
-TEST_F(RelayLoopTest, AHeadThatDoesNotArriveIsGivenUp)
+TEST_F(RelayLoopTest, AnIncompleteHeadTimesOut)
 {
   this->world.config->limits.headerTimeout = std::chrono::milliseconds{ 50 };
   this->world.start();
@@ -491,7 +493,7 @@
   EXPECT_TRUE(has(caller.readToEnd(), "408 Request Timeout"));
 }
 
-TEST_F(RelayLoopTest, AStoppingRelayEndsItsConnectionsAfterTheirAnswers)
+TEST_F(RelayLoopTest, AStoppingRelayClosesConnectionsAfterTheirAnswers)
 {
   // The relay is stopped during a stream. The stream must complete, then its
   // connection closes; later requests are refused as not run.
@@ -512,7 +514,7 @@
   EXPECT_TRUE(has(other.readToEnd(), "503 Service Unavailable"));
 }
 
-TEST_F(RelayLoopTest, ATimeoutBeforeTheAnswerIsToldAtOnce)
+TEST_F(RelayLoopTest, ATimeoutBeforeTheAnswerIsReportedAtOnce)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
@@ -524,7 +526,7 @@
   EXPECT_EQ(replica.readToEnd(), "");
 }
 
-TEST(RelayPeers, AReplicaThatAnotherRelayKnowsToLeaveGetsNoNewWork)
+TEST(RelayPeers, AReplicaReportedAsDrainingGetsNoNewWork)
 {
   // One relay's poll of the list hangs, so its list still shows a draining
   // replica as ready. Another relay has the newer list and reports the drain. A
@@ -554,7 +556,7 @@
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
 }
 
-TEST(RelayPeers, WhatALookBroughtReachesTheRelaysOfTheZone)
+TEST(RelayPeers, ReplicaListUpdatesReachTheRelaysOfTheZone)
 {
   // One relay polls the list and finds a draining replica. The other relay does
   // not poll: it must receive the entry with all its fields.
@@ -594,7 +596,7 @@
   EXPECT_EQ(received[0].poll.present[0], replica);
 }
 
-TEST(RelayPeers, ARelayWithoutTheStoreTakesOverAnothersProof)
+TEST(RelayPeers, ARelayWithoutTheStoreAdoptsAnothersProof)
 {
   // One relay reaches the store, the other does not. The second must adopt the
   // freshness proof of the first, and not date it later than the first does.
