--- a/src/relay/RelayCallers.cpp
+++ b/src/relay/RelayCallers.cpp
@@ -101,10 +101,11 @@
 void
 RelayLoop::Impl::addCaller(OwnedFd aFd)
 {
-  const std::size_t most = this->settings.descriptors > 2 * kReservedDescriptors
-                             ? this->settings.descriptors - kReservedDescriptors
-                             : this->settings.descriptors / 2;
-  if (this->callers.size() >= most) {
+  const std::size_t maxCallers =
+    this->settings.descriptors > 2 * kReservedDescriptors
+      ? this->settings.descriptors - kReservedDescriptors
+      : this->settings.descriptors / 2;
+  if (this->callers.size() >= maxCallers) {
     this->closeLongestIdleCaller();
   }
   setNoDelay(aFd.get());
@@ -135,9 +136,9 @@
 {
   const CallerConnection* longestIdle = nullptr;
   for (const auto& [id, caller] : this->callers) {
-    const bool free = caller->exchange == 0 && !caller->receivingRequest;
-    if (free && (longestIdle == nullptr ||
-                 caller->stateSince < longestIdle->stateSince)) {
+    const bool isIdle = caller->exchange == 0 && !caller->receivingRequest;
+    if (isIdle && (longestIdle == nullptr ||
+                   caller->stateSince < longestIdle->stateSince)) {
       longestIdle = caller.get();
     }
   }
@@ -341,8 +342,9 @@
   this->timers.arm(aCaller.id, this->now + kLingerTimeout);
 }
 
-/** Ends the current request of a connection: closes the connection, or
- * continues with the next request, which may be buffered already. */
+/** Ends the current request of a connection once its answer has been passed to
+ * sendToCaller. Closes the connection, or continues with the next request,
+ * which may be buffered already. */
 void
 RelayLoop::Impl::onAnswerWritten(CallerConnection& aCaller)
 {
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -13,8 +13,8 @@
  * second when the SYN packet is lost. */
 constexpr Duration kConnectTimeout = std::chrono::milliseconds{ 400 };
 
-/** While another relay reported a recent enough proof of its configuration this
- * lately, a refused caller can expect it to serve the request. */
+/** Another relay is expected to serve callers that this one refuses if it
+ * reported a recent freshness proof no longer ago than this. */
 constexpr Duration kMaxPeerProofAge = std::chrono::milliseconds{ 1'000 };
 
 /** Hash of a request id, used as jitter for the retry advice: it needs no
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -156,8 +156,8 @@
     const std::scoped_lock lock{ this->postGuard };
     work.swap(this->posted);
   }
-  for (const auto& one : work) {
-    one();
+  for (const auto& task : work) {
+    task();
   }
 }
 
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -40,7 +40,8 @@
 /** Most bytes that one read takes from a caller or replica. */
 constexpr std::size_t kReadBytes = std::size_t{ 16 } * 1024;
 
-/** Tokens that one event may carry when the engine writes several at once. */
+/** Number of tokens that an event is assumed to hold: the engine may write
+ * several at once. */
 constexpr int kTokensPerEvent = 2;
 
 /** Interval at which a waiting request is tried again. It waits for a path, or
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -36,9 +36,9 @@
 std::uint32_t
 formatOf(const msgpack::object& aDatagram)
 {
-  const bool named =
+  const bool hasFormat =
     aDatagram.type == msgpack::type::ARRAY && aDatagram.via.array.size > 0;
-  return named ? aDatagram.via.array.ptr[0].as<std::uint32_t>() : 0;
+  return hasFormat ? aDatagram.via.array.ptr[0].as<std::uint32_t>() : 0;
 }
 
 } // namespace
@@ -134,12 +134,12 @@
     this->shared.metrics.count("peer_words_too_large_total");
     return;
   }
-  const bool all = aChanged || this->periodicRuns % 2 == 0;
+  const bool everyZone = aChanged || this->periodicRuns % 2 == 0;
   for (const Address& peer : *peers) {
-    const auto heard = this->knownPeers.find(peer);
-    const bool near = heard == this->knownPeers.end() ||
-                      heard->second.zone == this->settings.zone;
-    if (all || near) {
+    const auto known = this->knownPeers.find(peer);
+    const bool sameZone = known == this->knownPeers.end() ||
+                          known->second.zone == this->settings.zone;
+    if (everyZone || sameZone) {
       this->sendDatagram(peer, { bytes.data(), bytes.size() });
     }
   }
@@ -154,11 +154,11 @@
   if (!address) {
     return;
   }
-  const auto heard = this->knownPeers.find(aPeer);
+  const auto known = this->knownPeers.find(aPeer);
   msgpack::sbuffer bytes;
   bytes.write(aDatagram.data(), aDatagram.size());
   msgpack::pack(
-    bytes, heard == this->knownPeers.end() ? PeerEcho{} : heard->second.echo);
+    bytes, known == this->knownPeers.end() ? PeerEcho{} : known->second.echo);
   // Errors are ignored: the next datagram replaces a lost one.
   static_cast<void>(::sendto(this->peerSocket.get(),
                              bytes.data(),
@@ -174,10 +174,10 @@
 void
 RelayLoop::Impl::updateStorePolling()
 {
-  std::vector<StoreReader> heard;
+  std::vector<StoreReader> activePeers;
   for (const auto& [address, peer] : this->knownPeers) {
     if (this->now - peer.receivedAt < kReaderTimeout) {
-      heard.push_back(
+      activePeers.push_back(
         StoreReader{ address, peer.zone, peer.polls, peer.pollsFail });
     }
   }
@@ -185,19 +185,19 @@
                          this->settings.zone,
                          this->shared.polls,
                          this->shared.pollsFail };
-  const bool polls = shouldPoll(own, heard);
+  const bool polls = shouldPoll(own, activePeers);
   if (this->shared.polls.exchange(polls) != polls) {
     this->shared.metrics.set("store_reader", polls ? 1 : 0);
     this->shared.log.write(
       LogLine{ LogPart::Store, polls ? "reads" : "hears" }
-        .with("relays", static_cast<std::int64_t>(heard.size()))
+        .with("relays", static_cast<std::int64_t>(activePeers.size()))
         .with("last_look_failed", own.pollsFail ? 1 : 0));
   }
-  this->shared.storeReaders = static_cast<std::size_t>(
-    std::count_if(heard.begin(), heard.end(), [](const StoreReader& aOther) {
+  this->shared.storeReaders = static_cast<std::size_t>(std::count_if(
+    activePeers.begin(), activePeers.end(), [](const StoreReader& aOther) {
       return aOther.polls;
     }));
-  if (storeIsUnavailable(heard)) {
+  if (storeIsUnavailable(activePeers)) {
     this->shared.peersSawOutageAt =
       this->shared.clock.now().time_since_epoch().count();
   }
@@ -299,14 +299,14 @@
     this->shared.leaderSeenAt =
       this->shared.clock.now().time_since_epoch().count();
   }
-  const auto raise = [](std::atomic<std::uint64_t>& aMost,
-                        std::uint64_t aValue) {
-    if (aValue > aMost) {
-      aMost = aValue;
+  const auto updateMax = [](std::atomic<std::uint64_t>& aMax,
+                            std::uint64_t aValue) {
+    if (aValue > aMax) {
+      aMax = aValue;
     }
   };
-  raise(this->shared.peerConfigVersion, aStatus.config);
-  raise(this->shared.peerListVersion, aStatus.list);
+  updateMax(this->shared.peerConfigVersion, aStatus.config);
+  updateMax(this->shared.peerListVersion, aStatus.list);
   if (aStatus.releasedFence > this->shared.peerReleasedFence) {
     this->shared.peerReleasedFence = aStatus.releasedFence;
     // No relay holds the lease. The next attempt to acquire it need not wait
@@ -348,8 +348,8 @@
   }
 }
 
-/** Handles a received datagram. Unknown formats and datagrams of this relay
- * itself are ignored. */
+/** Handles a received datagram. Status messages in another format, or of this
+ * relay itself, are ignored. */
 void
 RelayLoop::Impl::readDatagram(const char* aBytes,
                               std::size_t aSize,
--- a/src/relay/RelayReplicas.cpp
+++ b/src/relay/RelayReplicas.cpp
@@ -86,10 +86,10 @@
 Result<ReplicaConnection*>
 RelayLoop::Impl::connectionTo(const AttemptTarget& aTarget, bool aRecentOnly)
 {
-  auto& kept = this->idleConnections[aTarget.replica];
-  while (!kept.empty()) {
-    const auto found = this->connections.find(kept.back());
-    kept.pop_back();
+  auto& idle = this->idleConnections[aTarget.replica];
+  while (!idle.empty()) {
+    const auto found = this->connections.find(idle.back());
+    idle.pop_back();
     if (found == this->connections.end()) {
       continue;
     }
@@ -363,10 +363,11 @@
   // Unparsed bytes belong to no request. If the answer came before the request
   // was written completely, the replica would read the next request as the rest
   // of the body.
-  const bool clean = aConnection.input.empty() && aConnection.output.empty() &&
-                     aConnection.parser->keep_alive() && keep > Duration{ 0 } &&
-                     aConnection.parser->is_done();
-  if (!clean) {
+  const bool reusable = aConnection.input.empty() &&
+                        aConnection.output.empty() &&
+                        aConnection.parser->keep_alive() &&
+                        keep > Duration{ 0 } && aConnection.parser->is_done();
+  if (!reusable) {
     this->closeReplica(aConnection.id);
     return;
   }
@@ -391,8 +392,8 @@
 void
 RelayLoop::Impl::closeExpiredIdle(TimePoint aNow)
 {
-  for (auto& [replica, kept] : this->idleConnections) {
-    std::erase_if(kept, [&](std::uint64_t aId) {
+  for (auto& [replica, idle] : this->idleConnections) {
+    std::erase_if(idle, [&](std::uint64_t aId) {
       const auto found = this->connections.find(aId);
       if (found == this->connections.end()) {
         return true;
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -531,17 +531,17 @@
   // One relay's poll of the list hangs, so its list still shows a draining
   // replica as ready. Another relay has the newer list and reports the drain. A
   // caller of the first relay must be served by the other replica.
-  RawListener leaving;
-  RawListener staying;
+  RawListener drainingListener;
+  RawListener readyListener;
   RelayWorld upToDate;
   RelayWorld outdated;
   for (RelayWorld* world : { &upToDate, &outdated }) {
-    world->addReplica("one", "plain", leaving.address());
+    world->addReplica("one", "plain", drainingListener.address());
     world->start();
   }
   upToDate.replicas["one"].draining = true;
   upToDate.publishReplicas(7);
-  outdated.addReplica("two", "plain", staying.address());
+  outdated.addReplica("two", "plain", readyListener.address());
   outdated.replicas["two"].zone = "b";
   outdated.publishReplicas(2);
   upToDate.shared.peers.replace(std::make_shared<const std::vector<Address>>(
@@ -552,7 +552,7 @@
   }
   ASSERT_EQ(outdated.shared.peerListVersion, 7U);
   RawSocket caller = outdated.sendRequest("/once/x", "id-1");
-  RawSocket replica = staying.accept();
+  RawSocket replica = readyListener.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
 }
 
