--- a/src/relay/ReplicaListUpdate.h
+++ b/src/relay/ReplicaListUpdate.h
@@ -44,7 +44,8 @@
 };
 
 /** Changes of the replica list, sent by a store reader to the relays of its
- * availability zone. The fields are those of ReplicaListDelta. */
+ * availability zone. The fields are those of ReplicaListDelta and
+ * ReplicaPoll. */
 struct ReplicaListUpdate
 {
   std::uint32_t format = kListUpdateFormat;
