--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -162,7 +162,7 @@
     this->recordRepairTime(aExchange);
     text.append(chunkOf(out));
     aExchange.lastProgress = this->now;
-    aExchange.asking = false;
+    aExchange.overdue = false;
   }
   if (aEnd) {
     text.append(kLastChunk);
@@ -247,7 +247,7 @@
   const auto caller = this->callers.find(exchange.caller);
   this->endExchange(exchange);
   if (caller != this->callers.end()) {
-    this->afterAnswer(*caller->second);
+    this->onAnswerWritten(*caller->second);
   }
 }
 
@@ -303,7 +303,7 @@
   // A started stream first waits for the retry budget and for a path.
   if (maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(RetryReason::ReplicaRefused);
-    aExchange.owesRetry = true;
+    aExchange.needsRetryBudget = true;
     this->dispatch(aExchange);
     return;
   }
@@ -341,14 +341,14 @@
   const bool retryAllowed =
     !possiblyRan || (isRepeatable && aExchange.runs < route.attempts);
   if (aFailure == ReplicaFailure::Unreachable) {
-    this->publishLost();
+    this->publishLostReplicas();
     this->confirmCrashes();
   }
   if (retryAllowed && maySendAgain(aExchange)) {
     this->shared.metrics.countRetry(aExchange.answering
                                       ? RetryReason::StreamBroken
                                       : RetryReason::ReplicaFailed);
-    aExchange.owesRetry = true;
+    aExchange.needsRetryBudget = true;
     this->dispatch(aExchange);
     return;
   }
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -62,7 +62,7 @@
 {
   // With a count of 1, two reports are enough however many relays there are.
   constexpr std::size_t kRelayCount = 1;
-  return this->ended.contains(aReplica) ||
+  return this->restartedReplicas.contains(aReplica) ||
          this->replicaById(aReplica) == nullptr ||
          this->reports.lost(
            aReplica, this->health.dead(aReplica, this->now), kRelayCount);
@@ -214,8 +214,8 @@
 RelayLoop::Impl::refreshQuarantine()
 {
   const auto stored = this->shared.storedQuarantine.read();
-  if (stored != this->quarantineRead) {
-    this->quarantineRead = stored;
+  if (stored != this->lastStoredQuarantine) {
+    this->lastStoredQuarantine = stored;
     for (const Fingerprint& request : *stored) {
       if (this->crashes.onQuarantined(request, Duration{ 0 }, this->now)) {
         this->beginQuarantine(request, false);
--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -48,7 +48,7 @@
   for (const Replica& replica : this->view->replicas) {
     const auto found = listed.find(replica.id);
     const bool drains = found == listed.end() || found->second;
-    if (drains && !this->ended.contains(replica.id)) {
+    if (drains && !this->restartedReplicas.contains(replica.id)) {
       this->drainingSince.try_emplace(replica.id, this->now);
     }
   }
@@ -82,7 +82,7 @@
 void
 RelayLoop::Impl::endIncarnation(const std::string& aReplica)
 {
-  if (!this->ended.try_emplace(aReplica, this->now).second) {
+  if (!this->restartedReplicas.try_emplace(aReplica, this->now).second) {
     return;
   }
   this->shared.metrics.count("replica_restarts_total");
@@ -134,7 +134,7 @@
   std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
     const PeerDrainReport& report = aEntry.second;
     return report.list <= this->view->lastChange ||
-           this->now - report.heard >
+           this->now - report.receivedAt >
              this->settings.drain * kDrainReportLifetime;
   });
 }
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -1,4 +1,4 @@
-// The course of an admitted request: its attempts, its timers and its end.
+// An admitted request: its attempts, its timers and its end.
 
 #include <algorithm>
 
@@ -8,15 +8,17 @@
 namespace poplartrack {
 namespace {
 
-/** A connection that is not open by then leads to a replica that is dead or
- * cut off; inside a region it takes some ms, or a second when the opening
- * packet is lost. */
-constexpr Duration kConnectPatience = std::chrono::milliseconds{ 400 };
+/** A replica that has not accepted a connection within this time is taken to be
+ * unreachable. Within a region, connecting takes a few milliseconds, or a
+ * second when the SYN packet is lost. */
+constexpr Duration kConnectTimeout = std::chrono::milliseconds{ 400 };
 
-/** A relay that was heard this lately still serves. */
-constexpr Duration kPeerServes = std::chrono::milliseconds{ 1'000 };
+/** Another relay is expected to serve callers that this one refuses if it
+ * reported a recent freshness proof no longer ago than this. */
+constexpr Duration kMaxPeerProofAge = std::chrono::milliseconds{ 1'000 };
 
-/** The same spread for the same request, and no random source to share. */
+/** Hash of a request id, used as jitter for the retry advice: it needs no
+ * random generator and is the same for repeats of a request. */
 std::uint64_t
 hashOf(std::string_view aText)
 {
@@ -31,6 +33,7 @@
   return aExchange.answering ? RetryNeed::Started : RetryNeed::Fresh;
 }
 
+/** Logs an event of a request with the state of the request. */
 void
 RelayLoop::Impl::logRequest(const Exchange& aExchange,
                             std::string_view aEvent,
@@ -65,8 +68,8 @@
     line.with("crossings",
               static_cast<std::int64_t>(aExchange.path.crossings.size()));
   }
-  if (aExchange.namedLimit) {
-    line.with("limit_milli", toMilliRate(*aExchange.namedLimit));
+  if (aExchange.reportedLimit) {
+    line.with("limit_milli", toMilliRate(*aExchange.reportedLimit));
   }
   if (aExchange.streaming) {
     line.with("events", aExchange.events);
@@ -77,7 +80,8 @@
   this->shared.log.write(line);
 }
 
-/** Starts the next attempt, or ends the request when there is none. */
+/** Sends the next attempt, queues the request until one is possible, or refuses
+ * the request. */
 void
 RelayLoop::Impl::dispatch(Exchange& aExchange)
 {
@@ -100,23 +104,23 @@
     return;
   }
   Result<AttemptTarget> target = this->chooseQueued(aExchange);
-  if (target && this->callerLeft(aExchange)) {
-    this->onCallerGone(aExchange.id);
+  if (target && this->callerHasDisconnected(aExchange)) {
+    this->onCallerDisconnected(aExchange.id);
     return;
   }
-  if (target && aExchange.owesRetry &&
+  if (target && aExchange.needsRetryBudget &&
       !this->budgetOf(aExchange).tryRetry(retryNeedOf(aExchange), this->now)) {
     target = fail(ErrorKind::Overloaded, "the retry budget is used up");
   }
   if (target) {
-    aExchange.owesRetry = false;
+    aExchange.needsRetryBudget = false;
     aExchange.waitingSince.reset();
-    this->send(aExchange, target.value());
+    this->sendAttempt(aExchange, target.value());
     return;
   }
   if (this->mayKeepWaiting(aExchange, target.error().kind)) {
     if (this->waiting.empty()) {
-      this->timers.arm(kWaitingKey, this->now + kWaitPause);
+      this->timers.arm(kWaitQueueTimerKey, this->now + kWaitRetryInterval);
     }
     this->waiting.add(this->waiterOf(aExchange));
     return;
@@ -124,8 +128,10 @@
   this->refuse(aExchange, target.error(), aExchange.runs == 0);
 }
 
+/** Sends the request to the replica on an idle or new connection, and records
+ * its load. */
 void
-RelayLoop::Impl::send(Exchange& aExchange, const AttemptTarget& aTarget)
+RelayLoop::Impl::sendAttempt(Exchange& aExchange, const AttemptTarget& aTarget)
 {
   const bool recentOnly = aExchange.route->rule == RetryRule::AtMostOnce;
   Result<ReplicaConnection*> opened = this->connectionTo(aTarget, recentOnly);
@@ -142,23 +148,25 @@
   aExchange.path = aTarget.path;
   aExchange.sentAt = this->now;
   aExchange.runningSince.reset();
-  aExchange.namedLimit.reset();
+  aExchange.reportedLimit.reset();
   aExchange.lastProgress = this->now;
-  aExchange.asking = false;
+  aExchange.overdue = false;
   ++aExchange.sends;
   this->waiting.remove(aExchange.id);
   this->replicaLimits.onSent(aTarget.replica, this->now);
   this->addLoad(aExchange);
   this->reserveLinkCapacity(aExchange, aTarget.path);
   this->armExchange(aExchange);
-  // The answer to HEAD names a length and has no body.
+  // An answer to HEAD has a Content-Length but no body.
   connection.parser->skip(aExchange.head.method == "HEAD");
-  connection.out = this->requestHead(aExchange, aTarget) + aExchange.body;
+  connection.output = this->requestHead(aExchange, aTarget) + aExchange.body;
   if (connection.state == ReplicaConnection::State::Busy) {
     this->flushReplica(connection);
   }
 }
 
+/** Sets the timer to the next deadline of the request: its own, the connect
+ * timeout or the stall timeout. */
 void
 RelayLoop::Impl::armExchange(Exchange& aExchange)
 {
@@ -168,15 +176,17 @@
     connection != this->connections.end() &&
     connection->second->state == ReplicaConnection::State::Connecting;
   if (connecting) {
-    next = std::min(next, aExchange.sentAt + kConnectPatience);
+    next = std::min(next, aExchange.sentAt + kConnectTimeout);
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
-      aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
+      aExchange.overdue ? aExchange.overdueHandledAt : aExchange.lastProgress;
     next = std::min(next, since + this->stallTimeoutOf(aExchange));
   }
   this->timers.arm(aExchange.id, next);
 }
 
+/** Handles whichever deadline of the request has passed. Requests that have no
+ * route or connection yet are tried again. */
 void
 RelayLoop::Impl::onExchangeTimer(Exchange& aExchange)
 {
@@ -197,14 +207,13 @@
     return;
   }
   if (connection->second->state == ReplicaConnection::State::Connecting) {
-    if (this->now - aExchange.sentAt >= kConnectPatience) {
-      this->onAttemptFailed(
-        aExchange, ReplicaFailure::Unreachable, "connect timeout");
+    if (this->now - aExchange.sentAt >= kConnectTimeout) {
+      this->onAttemptFailed(aExchange, ReplicaFailure::Unreachable, "connect timeout");
       return;
     }
   } else if (!aExchange.path.parts.empty()) {
     const TimePoint since =
-      aExchange.asking ? aExchange.askedAt : aExchange.lastProgress;
+      aExchange.overdue ? aExchange.overdueHandledAt : aExchange.lastProgress;
     if (this->now - since >= this->stallTimeoutOf(aExchange)) {
       this->onStallTimeout(aExchange);
       return;
@@ -213,7 +222,7 @@
   this->armExchange(aExchange);
 }
 
-/** Whether the present attempt may have reached its replica. */
+/** Whether the current attempt may have reached its replica. */
 bool
 RelayLoop::Impl::mayHaveRun(const Exchange& aExchange) const
 {
@@ -221,7 +230,8 @@
   return found != this->connections.end() && found->second->anySent;
 }
 
-/** Ends the present attempt. Closing its connection stops the work there. */
+/** Ends the current attempt. Closing its connection stops the work at the
+ * replica. */
 void
 RelayLoop::Impl::dropAttempt(Exchange& aExchange, bool aMayHaveRun)
 {
@@ -236,6 +246,7 @@
   aExchange.splitter.reset();
 }
 
+/** Removes the request. aExchange is destroyed. */
 void
 RelayLoop::Impl::endExchange(Exchange& aExchange)
 {
@@ -246,9 +257,10 @@
   --this->openCount;
 }
 
-/** The caller has closed its connection: the replica's work stops now. */
+/** Ends the request of a caller that has closed its connection, which also
+ * stops the work at the replica. */
 void
-RelayLoop::Impl::onCallerGone(std::uint64_t aExchange)
+RelayLoop::Impl::onCallerDisconnected(std::uint64_t aExchange)
 {
   const auto found = this->exchanges.find(aExchange);
   if (found == this->exchanges.end()) {
@@ -262,8 +274,9 @@
 }
 
 /**
- * Ends a request without an answer of a replica. aNotRun: it is proved that it
- * has not run and never will; only then the answer may say so.
+ * Ends a request with an error, or cuts its connection if part of an answer has
+ * been sent. aNotRun says that the request certainly has not run and never
+ * will; only then may the error say so.
  */
 void
 RelayLoop::Impl::refuse(Exchange& aExchange, const Error& aError, bool aNotRun)
@@ -287,7 +300,7 @@
   const bool answering = aExchange.answering;
   RefusalState state;
   state.kind = error.kind;
-  state.othersServe = this->now - this->peerFreshAt <= kPeerServes;
+  state.othersServe = this->now - this->peerProvedFreshAt <= kMaxPeerProofAge;
   state.timeLeft = aExchange.giveUpAt - this->now;
   state.jitterSeed = hashOf(requestId);
   if (state.kind == ErrorKind::Quarantined) {
@@ -300,8 +313,8 @@
   }
   CallerConnection& caller = *found->second;
   if (answering) {
-    // Part of the answer is with the caller: only a cut tells that the rest
-    // will not come.
+    // The caller has part of the answer. Only closing the connection can show
+    // that the rest will not come.
     this->closeCaller(caller.id);
     return;
   }
@@ -310,7 +323,7 @@
   const Duration retryAfter =
     status == kUnavailable ? retryAdvice(state) : Duration{ 0 };
   this->answerError(caller, error, requestId, retryAfter, caller.closeAfterOut);
-  this->afterAnswer(caller);
+  this->onAnswerWritten(caller);
 }
 
 } // namespace poplartrack
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -42,23 +42,23 @@
   const bool success = aHead.status >= kOk && aHead.status < kMultipleChoices;
   const auto field = aHead.headers.find(this->names.rateLimit);
   if (field) {
-    aExchange.namedLimit = parseDecimal(*field);
-    this->shared.metrics.count(aExchange.namedLimit
+    aExchange.reportedLimit = parseDecimal(*field);
+    this->shared.metrics.count(aExchange.reportedLimit
                                  ? "answers_with_limit_total"
                                  : "answers_with_unreadable_limit_total");
   }
   const Replica* replica = this->replicaById(aExchange.replica);
-  const bool isConclusive = field ? aExchange.namedLimit.has_value() : success;
+  const bool isConclusive = field ? aExchange.reportedLimit.has_value() : success;
   if (replica == nullptr || !isConclusive ||
       !this->replicaLimits.onAnswer(
-        replica->id, replica->zone, aExchange.namedLimit, this->now)) {
+        replica->id, replica->zone, aExchange.reportedLimit, this->now)) {
     return;
   }
   LogLine line{ LogPart::Replicas,
-                aExchange.namedLimit ? "limits" : "limits_no_more" };
+                aExchange.reportedLimit ? "limits" : "limits_no_more" };
   line.with("replica", replica->id);
-  if (aExchange.namedLimit) {
-    line.with("limit_milli", toMilliRate(*aExchange.namedLimit));
+  if (aExchange.reportedLimit) {
+    line.with("limit_milli", toMilliRate(*aExchange.reportedLimit));
   }
   this->shared.log.write(line);
   this->broadcastStatus(true);
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -1,5 +1,4 @@
-// Datagrams between relays: what each has in flight, and which replicas it
-// takes to be dead.
+// Datagrams between relays: status messages and replica list updates.
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -22,26 +21,29 @@
 
 namespace {
 
-/** Largest datagram that is sent and taken in. */
-constexpr std::size_t kMostBytes = std::size_t{ 32 } * 1024;
+/** Largest datagram that is sent or received, in bytes. */
+constexpr std::size_t kMaxDatagramBytes = std::size_t{ 32 } * 1024;
 
 constexpr std::uint64_t kBytesPerKilobyte = 1'000;
 
-/** A relay that looks at the store and was not heard for this long, three words
- * of its zone, does not count: another one looks in its place. */
-constexpr Duration kReaderSilence = std::chrono::milliseconds{ 700 };
+/** A store reader that has sent no status message for this long, three
+ * intervals within its zone, no longer counts as one: another relay polls in
+ * its place. */
+constexpr Duration kReaderTimeout = std::chrono::milliseconds{ 700 };
 
-/** The number with which each datagram begins. */
+/** Returns the format version of a datagram, its first field; 0 if there is
+ * none. */
 std::uint32_t
 formatOf(const msgpack::object& aDatagram)
 {
-  const bool named =
+  const bool hasFormat =
     aDatagram.type == msgpack::type::ARRAY && aDatagram.via.array.size > 0;
-  return named ? aDatagram.via.array.ptr[0].as<std::uint32_t>() : 0;
+  return hasFormat ? aDatagram.via.array.ptr[0].as<std::uint32_t>() : 0;
 }
 
 } // namespace
 
+/** Opens the socket for datagrams. */
 Result<Done>
 RelayLoop::Impl::openPeers()
 {
@@ -64,6 +66,7 @@
   return Done{};
 }
 
+/** Returns this relay's current status message. */
 PeerStatus
 RelayLoop::Impl::ownStatus()
 {
@@ -82,7 +85,7 @@
   for (const std::string& replica : this->health.blockedOn(this->now)) {
     status.lost.push_back(replica);
   }
-  for (const auto& [replica, since] : this->ended) {
+  for (const auto& [replica, since] : this->restartedReplicas) {
     status.lost.push_back(replica);
   }
   for (const std::string& replica : this->drainingReplicas()) {
@@ -115,9 +118,9 @@
   return status;
 }
 
-/** Tells all other relays; those of other zones, unless there is news, in every
- * second round: what is told there is work at replicas that are seldom shared,
- * and bytes between zones are dear. */
+/** Sends the status message to all other relays. Unless something has changed,
+ * relays of other zones receive only every second one: the replicas of this
+ * zone are seldom shared with them, and traffic between zones is expensive. */
 void
 RelayLoop::Impl::broadcastStatus(bool aChanged)
 {
@@ -127,22 +130,22 @@
   }
   msgpack::sbuffer bytes;
   msgpack::pack(bytes, this->ownStatus());
-  if (bytes.size() > kMostBytes) {
+  if (bytes.size() > kMaxDatagramBytes) {
     this->shared.metrics.count("peer_words_too_large_total");
     return;
   }
-  const bool all = aChanged || this->regularCount % 2 == 0;
+  const bool everyZone = aChanged || this->periodicRuns % 2 == 0;
   for (const Address& peer : *peers) {
-    const auto heard = this->knownPeers.find(peer);
-    const bool near = heard == this->knownPeers.end() ||
-                      heard->second.zone == this->settings.zone;
-    if (all || near) {
+    const auto known = this->knownPeers.find(peer);
+    const bool sameZone = known == this->knownPeers.end() ||
+                          known->second.zone == this->settings.zone;
+    if (everyZone || sameZone) {
       this->sendDatagram(peer, { bytes.data(), bytes.size() });
     }
   }
 }
 
-/** Sends the word with the peer's own echo behind it. */
+/** Sends a datagram, followed by the PeerEcho for its addressee. */
 void
 RelayLoop::Impl::sendDatagram(const Address& aPeer,
                               std::string_view aDatagram) const
@@ -151,12 +154,12 @@
   if (!address) {
     return;
   }
-  const auto heard = this->knownPeers.find(aPeer);
+  const auto known = this->knownPeers.find(aPeer);
   msgpack::sbuffer bytes;
   bytes.write(aDatagram.data(), aDatagram.size());
   msgpack::pack(
-    bytes, heard == this->knownPeers.end() ? PeerEcho{} : heard->second.echo);
-  // A datagram that is lost is followed by a newer one.
+    bytes, known == this->knownPeers.end() ? PeerEcho{} : known->second.echo);
+  // Errors are ignored: the next datagram replaces a lost one.
   static_cast<void>(::sendto(this->peerSocket.get(),
                              bytes.data(),
                              bytes.size(),
@@ -165,15 +168,16 @@
                              sizeof *address));
 }
 
-/** Decides whether this relay looks at the store, and notices that nobody who
- * looks reaches it. */
+/** Decides whether this relay polls the store. Also publishes the number of
+ * other store readers, and the time when all of them report the store as
+ * unavailable. */
 void
-RelayLoop::Impl::chooseReaders()
+RelayLoop::Impl::updateStorePolling()
 {
-  std::vector<StoreReader> heard;
+  std::vector<StoreReader> activePeers;
   for (const auto& [address, peer] : this->knownPeers) {
-    if (this->now - peer.heard < kReaderSilence) {
-      heard.push_back(
+    if (this->now - peer.receivedAt < kReaderTimeout) {
+      activePeers.push_back(
         StoreReader{ address, peer.zone, peer.polls, peer.pollsFail });
     }
   }
@@ -181,32 +185,33 @@
                          this->settings.zone,
                          this->shared.polls,
                          this->shared.pollsFail };
-  const bool polls = shouldPoll(own, heard);
+  const bool polls = shouldPoll(own, activePeers);
   if (this->shared.polls.exchange(polls) != polls) {
     this->shared.metrics.set("store_reader", polls ? 1 : 0);
     this->shared.log.write(
       LogLine{ LogPart::Store, polls ? "reads" : "hears" }
-        .with("relays", static_cast<std::int64_t>(heard.size()))
+        .with("relays", static_cast<std::int64_t>(activePeers.size()))
         .with("last_look_failed", own.pollsFail ? 1 : 0));
   }
-  this->shared.storeReaders = static_cast<std::size_t>(
-    std::count_if(heard.begin(), heard.end(), [](const StoreReader& aOther) {
+  this->shared.storeReaders = static_cast<std::size_t>(std::count_if(
+    activePeers.begin(), activePeers.end(), [](const StoreReader& aOther) {
       return aOther.polls;
     }));
-  if (storeIsUnavailable(heard)) {
+  if (storeIsUnavailable(activePeers)) {
     this->shared.peersSawOutageAt =
       this->shared.clock.now().time_since_epoch().count();
   }
 }
 
-/** Tells the relays of the own zone what changed in the list: in each zone some
- * relay looks. One that misses it hears of the version and reads the list. */
+/** Sends changes of the replica list to the relays of this zone; every zone has
+ * its own store readers. A relay that misses the datagram learns the version of
+ * the list from a status message and reads the list itself. */
 void
 RelayLoop::Impl::sendListDelta(const ReplicaListDelta& aDelta)
 {
   msgpack::sbuffer bytes;
-  msgpack::pack(bytes, updateOf(aDelta));
-  if (bytes.size() > kMostBytes) {
+  msgpack::pack(bytes, toListUpdate(aDelta));
+  if (bytes.size() > kMaxDatagramBytes) {
     this->shared.metrics.count("list_words_too_large_total");
     return;
   }
@@ -217,13 +222,12 @@
   }
 }
 
-/** Answers a relay that is not on the list yet: one that started later read the
- * list with this relay on it. Until all hear each other, each looks at the
- * lease and at the configuration more often: a third of the calls of the first
- * 10 s.
- */
+/** Adds the sender of a status message to the list of relays. A relay that
+ * started later is not on this relay's list yet, but has this one on its own.
+ * Until all relays know each other, each polls the lease and the configuration
+ * more often: that took a third of the store calls in the first 10 s. */
 void
-RelayLoop::Impl::meet(const Address& aSender)
+RelayLoop::Impl::addUnlistedPeer(const Address& aSender)
 {
   const auto known = this->shared.peers.read();
   const bool listed =
@@ -240,21 +244,21 @@
 }
 
 /**
- * Takes over how fresh another relay knows the configuration to be. It had this
- * relay's word of the echoed moment before it spoke, so what it says was so at
- * that moment on this relay's clock less its age, or later: no clock is
- * compared with another one's, and a word that lay in a buffer through a
- * suspension proves only what is old. Relays may therefore ask the store less
- * often: with five of them, each 2.5 s, some relay's proof is half a second
- * old.
+ * Adopts another relay's freshness proof of the configuration. The sender had
+ * received this relay's message with the echoed time before it sent its own.
+ * Its proof is therefore from the echoed time minus the reported age, or later,
+ * on this relay's clock. No clocks of different relays are compared, and a
+ * message that was buffered during a suspension proves only an old state. This
+ * lets relays poll the store less often: with five of them, each polling
+ * every 2.5 s, the latest proof is half a second old.
  */
 void
-RelayLoop::Impl::learnFreshness(const PeerStatus& aStatus,
-                                const PeerEcho& aEcho)
+RelayLoop::Impl::applyPeerFreshness(const PeerStatus& aStatus,
+                                    const PeerEcho& aEcho)
 {
   if (aStatus.configAge >= 0 &&
       Duration{ aStatus.configAge } <= this->gate.maxKeyAge) {
-    this->peerFreshAt = this->now;
+    this->peerProvedFreshAt = this->now;
   }
   const auto config = this->shared.config.read();
   const bool same = config != nullptr && config->version == aStatus.config;
@@ -272,6 +276,7 @@
   return toText(aPeer) + "/" + std::to_string(aIncarnation);
 }
 
+/** Returns the retry budget of the service of a request. */
 SharedRetryBudget&
 RelayLoop::Impl::budgetOf(const Exchange& aExchange)
 {
@@ -279,6 +284,7 @@
     aExchange.service == nullptr ? "" : aExchange.service->name);
 }
 
+/** Applies the status message of another relay. */
 void
 RelayLoop::Impl::onPeerStatus(const PeerStatus& aStatus,
                               const PeerEcho& aEcho,
@@ -293,26 +299,27 @@
     this->shared.leaderSeenAt =
       this->shared.clock.now().time_since_epoch().count();
   }
-  const auto raise = [](std::atomic<std::uint64_t>& aMost,
-                        std::uint64_t aValue) {
-    if (aValue > aMost) {
-      aMost = aValue;
+  const auto updateMax = [](std::atomic<std::uint64_t>& aMax,
+                            std::uint64_t aValue) {
+    if (aValue > aMax) {
+      aMax = aValue;
     }
   };
-  raise(this->shared.peerConfigVersion, aStatus.config);
-  raise(this->shared.peerListVersion, aStatus.list);
+  updateMax(this->shared.peerConfigVersion, aStatus.config);
+  updateMax(this->shared.peerListVersion, aStatus.list);
   if (aStatus.releasedFence > this->shared.peerReleasedFence) {
     this->shared.peerReleasedFence = aStatus.releasedFence;
-    // Nobody leads: the next look at the lease need not wait for silence.
+    // No relay holds the lease. The next attempt to acquire it need not wait
+    // until its holder has been silent for long enough.
     this->shared.leaderSeenAt = 0;
   }
-  this->learnFreshness(aStatus, aEcho);
+  this->applyPeerFreshness(aStatus, aEcho);
   this->onPeerDraining(aStatus);
   this->onPeerCrashes(aStatus);
   this->onPeerLimits(aStatus);
   const std::string peer = toText(aFrom);
-  // A process that starts again at an address has counted nothing yet. What the
-  // one before it spent still counts.
+  // Counts are kept by incarnation: a process that restarts at the same address
+  // begins at zero, and what its predecessor spent still counts.
   const std::string incarnation = incarnationName(aFrom, aStatus.incarnation);
   for (const RetryRow& row : aStatus.retries) {
     this->budgets.of(row.service)
@@ -320,7 +327,7 @@
   }
   LinkTotals totals;
   for (const LinkRow& row : aStatus.links) {
-    totals.emplace(zonePair(row.one, row.other),
+    totals.emplace(zonePair(row.firstZone, row.secondZone),
                    row.kilobytes * kBytesPerKilobyte);
   }
   this->links.onPeer(incarnation, totals, this->now);
@@ -337,10 +344,12 @@
                      { aStatus.unreachable.begin(), aStatus.unreachable.end() },
                      aStatus.slow };
   if (this->reports.onPeer(peer, std::move(report), this->now)) {
-    this->publishLost();
+    this->publishLostReplicas();
   }
 }
 
+/** Handles a received datagram. Status messages in another format, or of this
+ * relay itself, are ignored. */
 void
 RelayLoop::Impl::readDatagram(const char* aBytes,
                               std::size_t aSize,
@@ -351,8 +360,8 @@
   try {
     std::size_t at = 0;
     const msgpack::object_handle first = msgpack::unpack(aBytes, aSize, at);
-    if (formatOf(first.get()) == kListFormat) {
-      if (auto delta = deltaOf(first.get().as<ReplicaListUpdate>())) {
+    if (formatOf(first.get()) == kListUpdateFormat) {
+      if (auto delta = toListDelta(first.get().as<ReplicaListUpdate>())) {
         this->shared.listInbox.push(std::move(*delta));
       }
       return;
@@ -363,19 +372,20 @@
     this->shared.metrics.count("peer_words_unreadable_total");
     return;
   }
-  if (status.format == kPeerFormat &&
+  if (status.format == kPeerStatusFormat &&
       status.incarnation != this->ownIncarnation) {
-    this->meet(aFrom);
+    this->addUnlistedPeer(aFrom);
     this->onPeerStatus(status, echo, aFrom);
   }
 }
 
+/** Receives datagrams, a limited number for each event. */
 void
 RelayLoop::Impl::readPeers()
 {
-  constexpr int kMostAtOnce = 64;
-  std::array<char, kMostBytes> bytes;
-  for (int i = 0; i < kMostAtOnce; ++i) {
+  constexpr int kMaxDatagramsPerEvent = 64;
+  std::array<char, kMaxDatagramBytes> bytes;
+  for (int i = 0; i < kMaxDatagramsPerEvent; ++i) {
     sockaddr_in from{};
     socklen_t fromSize = sizeof from;
     const ssize_t count = ::recvfrom(this->peerSocket.get(),
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -45,7 +45,7 @@
   if (aExchange.service == nullptr || !aExchange.service->engine) {
     return this->choose(aExchange);
   }
-  if (this->now - this->roundAt >= kWaitPause) {
+  if (this->now - this->roundStartedAt >= kWaitRetryInterval) {
     this->beginDispatchRound();
   }
   const Waiter waiter = this->waiterOf(aExchange);
@@ -67,7 +67,7 @@
 RelayLoop::Impl::beginDispatchRound()
 {
   this->waiting.beginRound();
-  this->roundAt = this->now;
+  this->roundStartedAt = this->now;
 }
 
 /** Tries to dispatch the requests that wait for memory. */
@@ -82,7 +82,7 @@
     }
   }
   if (!this->waiting.empty()) {
-    this->timers.arm(kWaitingKey, this->now + kWaitPause);
+    this->timers.arm(kWaitQueueTimerKey, this->now + kWaitRetryInterval);
   }
 }
 
