--- a/benchmark/decision_cost.cpp
+++ b/benchmark/decision_cost.cpp
@@ -199,17 +199,17 @@
       shares.onDemand(accountHash("account-" + std::to_string(i)), 0.5, kStart);
     }
     double sent = 0;
-    std::vector<WishList> lists = shares.wishes(kStart);
-    for (const WishList& list : lists) {
+    std::vector<DemandList> lists = shares.demands(kStart);
+    for (const DemandList& list : lists) {
       msgpack::sbuffer buffer;
-      msgpack::pack(buffer, list.wishes);
+      msgpack::pack(buffer, list.demands);
       sent += static_cast<double>(buffer.size());
     }
     bytes.push_back(Sample{ active, sent });
     messages.push_back(Sample{ active, static_cast<double>(lists.size()) });
     constexpr int kCalls = 200;
     times.push_back(
-      Sample{ active, microsPerCall(kCalls, [&] { shares.wishes(kStart); }) });
+      Sample{ active, microsPerCall(kCalls, [&] { shares.demands(kStart); }) });
   }
   printFit("shares: payload of one exchange, one way", "active", "B", bytes);
   printFit("shares: messages of one exchange", "active", "sent", messages);
--- a/benchmark/decisions/Simulation.h
+++ b/benchmark/decisions/Simulation.h
@@ -83,7 +83,7 @@
   Entry makeEntry(Chooser aChooser, std::size_t aIndex)
   {
     AdmissionPolicy policy;
-    policy.firstLimit = 200;
+    policy.initialLimit = 200;
     Entry entry{ std::move(aChooser),
                  AdmissionControl::create(policy, aIndex).value(),
                  RetryBudget(RetryBudgetPolicy{}),
--- a/include/poplartrack/admit/AccountShares.h
+++ b/include/poplartrack/admit/AccountShares.h
@@ -13,14 +13,14 @@
 namespace poplartrack {
 
 /** What one entry wants of one account's limit. */
-struct ShareWish
+struct ShareDemand
 {
   /** Hash of the account's name. */
   std::uint64_t account = 0;
   /** Demand over the whole limit in 1/1000, at most 65535. */
   std::uint16_t demand = 0;
 
-  friend bool operator==(const ShareWish&, const ShareWish&) = default;
+  friend bool operator==(const ShareDemand&, const ShareDemand&) = default;
   MSGPACK_DEFINE(account, demand);
 };
 
@@ -36,10 +36,10 @@
 };
 
 /** All wishes of one entry for the accounts that one peer owns. */
-struct WishList
+struct DemandList
 {
   std::string owner;
-  std::vector<ShareWish> wishes;
+  std::vector<ShareDemand> demands;
 };
 
 /** How account limits are split over entries. */
@@ -88,10 +88,10 @@
   double shareOf(std::uint64_t aAccount, TimePoint aNow);
 
   /** What to send, by owner, for accounts with demand; self is served here. */
-  std::vector<WishList> wishes(TimePoint aNow);
+  std::vector<DemandList> demands(TimePoint aNow);
   /** The owner's side: answers one entry's wishes. */
   std::vector<ShareGrant> grant(const std::string& aEntry,
-                                const std::vector<ShareWish>& aWishes,
+                                const std::vector<ShareDemand>& aDemands,
                                 TimePoint aNow);
   /** The owner's answer came; aAsked is when the wishes were sent. */
   void onGrants(const std::vector<ShareGrant>& aGrants, TimePoint aAsked);
--- a/include/poplartrack/admit/AdmissionPolicy.h
+++ b/include/poplartrack/admit/AdmissionPolicy.h
@@ -8,7 +8,7 @@
 struct AdmissionPolicy
 {
   /** Requests in flight per model at this entry: first guess and range. */
-  double firstLimit = 64;
+  double initialLimit = 64;
   double lowestLimit = 4;
   double highestLimit = 4096;
   /** Wait that is still no overload. */
@@ -23,7 +23,7 @@
   /** Factor on the limit after an interval above target. */
   double decrease = 0.9;
   /** Below this part of the limit nobody is held to a fair share. */
-  double fairFrom = 0.75;
+  double fairShareFrom = 0.75;
   /** An account or priority counts as active this long after a request. */
   Duration activeFor = std::chrono::seconds{ 5 };
   /** Expected completion times this must fit before the deadline. */
--- a/include/poplartrack/entry/ShareExchange.h
+++ b/include/poplartrack/entry/ShareExchange.h
@@ -36,7 +36,7 @@
 
 private:
   void exchange();
-  void send(const WishList& aList);
+  void send(const DemandList& aList);
 
   EntryParts parts;
   std::string self;
--- a/include/poplartrack/retry/CrashWatch.h
+++ b/include/poplartrack/retry/CrashWatch.h
@@ -7,7 +7,7 @@
 
 #include "poplartrack/base/Clock.h"
 #include "poplartrack/retry/CrashReport.h"
-#include "poplartrack/retry/ServedContents.h"
+#include "poplartrack/retry/RecentlyServedRequests.h"
 
 namespace poplartrack {
 
@@ -32,7 +32,7 @@
   /** The replica has ended: what broke off there, each request once, but for
    * what was served elsewhere since. */
   std::vector<CrashReport> onEnded(const std::string& aReplica,
-                                   const ServedContents& aServed,
+                                   const RecentlyServedRequests& aServed,
                                    TimePoint aNow);
   /** The replica ends as planned, or lives. */
   void forget(const std::string& aReplica) { this->waiting.erase(aReplica); }
--- a/include/poplartrack/retry/ServedContents.h
+++ b/include/poplartrack/retry/RecentlyServedRequests.h
@@ -14,7 +14,7 @@
  * callers ask for is in flight at many replicas, and so at each one that
  * crashes by itself. Bounded; pure; not thread-safe.
  */
-class ServedContents
+class RecentlyServedRequests
 {
 public:
   void onServed(const Fingerprint& aContent, TimePoint aNow);
--- a/include/poplartrack/retry/RetryNeed.h
+++ b/include/poplartrack/retry/RetryPriority.h
@@ -5,12 +5,12 @@
 namespace poplartrack {
 
 /** What a retry is wanted for, from what can best be left to what cannot. */
-enum class RetryNeed : std::uint8_t
+enum class RetryPriority : std::uint8_t
 {
   /** A stream is moved off a replica that leaves and still serves. */
   Planned,
   /** The caller has nothing yet: refused, it can come back. */
-  Fresh,
+  Unanswered,
   /** The caller has part of a stream, which is cut without another attempt. */
   Started,
 };
--- a/include/poplartrack/retry/SharedRetryBudget.h
+++ b/include/poplartrack/retry/SharedRetryBudget.h
@@ -7,7 +7,7 @@
 
 #include "poplartrack/base/Clock.h"
 #include "poplartrack/retry/RetryCounts.h"
-#include "poplartrack/retry/RetryNeed.h"
+#include "poplartrack/retry/RetryPriority.h"
 
 namespace poplartrack {
 
@@ -52,9 +52,9 @@
   /** What another relay counted. */
   void onPeer(const std::string& aPeer, RetryCounts aCounts, TimePoint aNow);
   /** Whether one retry may be made now. */
-  [[nodiscard]] bool open(RetryNeed aNeed, TimePoint aNow);
+  [[nodiscard]] bool mayRetry(RetryPriority aNeed, TimePoint aNow);
   /** ... and takes it from the budget if so. */
-  bool tryRetry(RetryNeed aNeed, TimePoint aNow);
+  bool tryRetry(RetryPriority aNeed, TimePoint aNow);
   /** What this relay counted in the window that ends now. */
   [[nodiscard]] RetryCounts own(TimePoint aNow);
 
--- a/include/poplartrack/wire/ShareWishes.h
+++ b/include/poplartrack/wire/ShareWishes.h
@@ -21,7 +21,7 @@
   /** The sender's address, from which a revision can be fetched. */
   std::string address;
   std::uint64_t revision = 0;
-  std::vector<ShareWish> wishes;
+  std::vector<ShareDemand> wishes;
 
   MSGPACK_DEFINE(from, address, revision, wishes);
 };
--- a/src/admit/AccountShares.cpp
+++ b/src/admit/AccountShares.cpp
@@ -143,15 +143,15 @@
   return this->reservedEach() + found->second.share;
 }
 
-std::vector<WishList>
-AccountShares::wishes(TimePoint aNow)
+std::vector<DemandList>
+AccountShares::demands(TimePoint aNow)
 {
   std::erase_if(this->locals, [this, aNow](const auto& aEntry) {
     const Local& local = aEntry.second;
     return aNow - local.lastDemand > this->policy.demandFor &&
            aNow >= local.shareEnds;
   });
-  std::map<std::string, std::vector<ShareWish>> byOwner;
+  std::map<std::string, std::vector<ShareDemand>> byOwner;
   for (const auto& [account, local] : this->locals) {
     const double demand = local.demand * fade(aNow - local.lastDemand);
     if (demand < kLeastDemand) {
@@ -159,34 +159,34 @@
     }
     const double units = std::min(kShareUnit, std::ceil(demand * kDemandUnit));
     byOwner[this->ownerOf(account)].push_back(
-      ShareWish{ account, static_cast<std::uint16_t>(units) });
+      ShareDemand{ account, static_cast<std::uint16_t>(units) });
   }
-  std::vector<WishList> lists;
+  std::vector<DemandList> lists;
   for (auto& [owner, wanted] : byOwner) {
     if (owner == this->self) {
       this->onGrants(this->grant(this->self, wanted, aNow), aNow);
       continue;
     }
-    lists.push_back(WishList{ owner, std::move(wanted) });
+    lists.push_back(DemandList{ owner, std::move(wanted) });
   }
   return lists;
 }
 
 std::vector<ShareGrant>
 AccountShares::grant(const std::string& aEntry,
-                     const std::vector<ShareWish>& aWishes,
+                     const std::vector<ShareDemand>& aDemands,
                      TimePoint aNow)
 {
   std::vector<ShareGrant> grants;
   this->dropEnded(aNow);
-  for (const ShareWish& wish : aWishes) {
-    if (!this->ownedThroughout(wish.account, aNow)) {
+  for (const ShareDemand& demand : aDemands) {
+    if (!this->ownedThroughout(demand.account, aNow)) {
       continue;
     }
     const double share = this->grantOne(
-      this->owned[wish.account], aEntry, wish.demand / kDemandUnit, aNow);
+      this->owned[demand.account], aEntry, demand.demand / kDemandUnit, aNow);
     grants.push_back(ShareGrant{
-      wish.account, static_cast<std::uint16_t>(share * kShareUnit) });
+      demand.account, static_cast<std::uint16_t>(share * kShareUnit) });
   }
   return grants;
 }
--- a/src/admit/AdmissionControl.cpp
+++ b/src/admit/AdmissionControl.cpp
@@ -245,7 +245,7 @@
 AdmissionControl::limit(const std::string& aModel) const
 {
   const auto gate = this->gates.find(aModel);
-  return gate == this->gates.end() ? this->policy.firstLimit
+  return gate == this->gates.end() ? this->policy.initialLimit
                                    : gate->second.limit();
 }
 
--- a/src/admit/ConcurrencyLimit.cpp
+++ b/src/admit/ConcurrencyLimit.cpp
@@ -14,7 +14,7 @@
 
 ConcurrencyLimit::ConcurrencyLimit(const AdmissionPolicy& aPolicy)
   : policy(aPolicy)
-  , current(aPolicy.firstLimit)
+  , current(aPolicy.initialLimit)
 {
 }
 
--- a/src/admit/ModelGate.cpp
+++ b/src/admit/ModelGate.cpp
@@ -51,7 +51,7 @@
   }
   const Use& use = this->uses.at(aAccount);
   const double fair = limit * aWeight / this->activeWeight;
-  if (this->total + 1 > this->policy.fairFrom * limit &&
+  if (this->total + 1 > this->policy.fairShareFrom * limit &&
       use.inFlight + 1 > std::max(1.0, fair)) {
     return "the account has its fair share";
   }
--- a/src/entry/ShareExchange.cpp
+++ b/src/entry/ShareExchange.cpp
@@ -50,18 +50,18 @@
 void
 ShareExchange::exchange()
 {
-  const std::vector<WishList> lists = this->parts.decider.with(
+  const std::vector<DemandList> lists = this->parts.decider.with(
     [](RouteChooser&, AdmissionControl& aAdmission, RetryBudget&) {
-      return aAdmission.shares().wishes(runtimeNow());
+      return aAdmission.shares().demands(runtimeNow());
     });
-  for (const WishList& list : lists) {
+  for (const DemandList& list : lists) {
     this->send(list);
   }
   this->parts.timers.after(kInterval, [this] { this->exchange(); });
 }
 
 void
-ShareExchange::send(const WishList& aList)
+ShareExchange::send(const DemandList& aList)
 {
   std::string text;
   {
@@ -77,7 +77,7 @@
     return;
   }
   const ShareWishes message{
-    this->self, this->parts.replyTo, this->revision(), aList.wishes
+    this->self, this->parts.replyTo, this->revision(), aList.demands
   };
   const TimePoint asked = runtimeNow();
   callPeer<ShareGrants>(
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -73,7 +73,7 @@
       continue;
     }
     for (const CrashReport& report :
-         this->crashWatch.onEnded(replica, this->servedContents, this->now)) {
+         this->crashWatch.onEnded(replica, this->recentlyServed, this->now)) {
       this->shared.metrics.count("requests_at_ended_replicas_total");
       if (this->crashes.onCrash(report, CrashSource::Own, this->now)) {
         this->onQuarantine(report.request, true);
@@ -90,7 +90,7 @@
   this->shared.log.write(LogLine{ LogPart::Quarantine, "began" }
                            .with("content", toText(aRequest))
                            .with("own", aOwn ? 1 : 0));
-  if (this->servedContents.lastServed(aRequest, this->now)) {
+  if (this->recentlyServed.lastServed(aRequest, this->now)) {
     const std::size_t before = this->trialRank(aRequest);
     this->crashes.allowTrial(aRequest,
                              this->now + kTrialAfter +
@@ -168,7 +168,7 @@
 RelayLoop::Impl::noteServed(Exchange& aExchange)
 {
   const Fingerprint& request = contentOf(aExchange);
-  this->servedContents.onServed(request, this->now);
+  this->recentlyServed.onServed(request, this->now);
   if (this->crashes.onServed(request, this->now)) {
     this->onReleased(request);
   }
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -25,10 +25,11 @@
 
 } // namespace
 
-RetryNeed
+RetryPriority
 retryNeedOf(const Exchange& aExchange)
 {
-  return aExchange.answering ? RetryNeed::Started : RetryNeed::Fresh;
+  return aExchange.answering ? RetryPriority::Started
+                             : RetryPriority::Unanswered;
 }
 
 void
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -32,8 +32,8 @@
 #include "poplartrack/retry/CrashLedger.h"
 #include "poplartrack/retry/CrashWatch.h"
 #include "poplartrack/retry/Fingerprint.h"
+#include "poplartrack/retry/RecentlyServedRequests.h"
 #include "poplartrack/retry/RetryBudgets.h"
-#include "poplartrack/retry/ServedContents.h"
 
 namespace poplartrack {
 
@@ -65,7 +65,7 @@
 milliOf(double aPerSecond);
 
 /** What a retry of the request would be for. */
-RetryNeed
+RetryPriority
 retryNeedOf(const Exchange& aExchange);
 
 /** How the connection under an attempt ended. */
@@ -354,7 +354,7 @@
   WaitQueue waiting;
   CrashWatch crashWatch;
   CrashLedger crashes;
-  ServedContents servedContents;
+  RecentlyServedRequests recentlyServed;
   /** What was last taken over of the quarantine in the store. */
   std::shared_ptr<const std::vector<Fingerprint>> quarantineRead;
   /** When the present round of the line began. */
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -85,9 +85,10 @@
   const bool resumes = !target || !aPlanned;
   // Without a retry to spend it stays: its zone is whole again after a second
   // or so, and the replica keeps the work for longer than that.
-  const RetryNeed need = aPlanned ? RetryNeed::Planned : retryNeedOf(aExchange);
+  const RetryPriority need =
+    aPlanned ? RetryPriority::Planned : retryNeedOf(aExchange);
   if (crosses && mayResume && resumes &&
-      this->budgetOf(aExchange).open(need, this->now) &&
+      this->budgetOf(aExchange).mayRetry(need, this->now) &&
       this->choosePath(aExchange, {}).ok()) {
     this->onBroken(aExchange, ReplicaFailure::Refused, "part lost");
     return;
@@ -131,7 +132,7 @@
   if (!mayMove) {
     return;
   }
-  if (!this->budgetOf(aExchange).open(RetryNeed::Planned, this->now)) {
+  if (!this->budgetOf(aExchange).mayRetry(RetryPriority::Planned, this->now)) {
     this->shared.metrics.count("planned_moves_without_budget_total");
     return;
   }
--- a/src/retry/CrashWatch.cpp
+++ b/src/retry/CrashWatch.cpp
@@ -29,7 +29,7 @@
 
 std::vector<CrashReport>
 CrashWatch::onEnded(const std::string& aReplica,
-                    const ServedContents& aServed,
+                    const RecentlyServedRequests& aServed,
                     TimePoint aNow)
 {
   std::vector<CrashReport> reports;
--- a/src/retry/ServedContents.cpp
+++ b/src/retry/RecentlyServedRequests.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/retry/ServedContents.h"
+#include "poplartrack/retry/RecentlyServedRequests.h"
 
 #include <utility>
 
@@ -13,7 +13,7 @@
 } // namespace
 
 void
-ServedContents::onServed(const Fingerprint& aContent, TimePoint aNow)
+RecentlyServedRequests::onServed(const Fingerprint& aContent, TimePoint aNow)
 {
   if (aNow - this->begunAt >= kRemembered / 2) {
     this->before = std::exchange(this->present, {});
@@ -25,7 +25,8 @@
 }
 
 std::optional<TimePoint>
-ServedContents::lastServed(const Fingerprint& aContent, TimePoint aNow) const
+RecentlyServedRequests::lastServed(const Fingerprint& aContent,
+                                   TimePoint aNow) const
 {
   for (const Moments* moments : { &this->present, &this->before }) {
     const auto found = moments->find(aContent);
--- a/src/retry/SharedRetryBudget.cpp
+++ b/src/retry/SharedRetryBudget.cpp
@@ -78,7 +78,7 @@
 }
 
 bool
-SharedRetryBudget::open(RetryNeed aNeed, TimePoint aNow)
+SharedRetryBudget::mayRetry(RetryPriority aNeed, TimePoint aNow)
 {
   const RetryCounts mine = this->own(aNow);
   RetryCounts latest;
@@ -110,9 +110,9 @@
 }
 
 bool
-SharedRetryBudget::tryRetry(RetryNeed aNeed, TimePoint aNow)
+SharedRetryBudget::tryRetry(RetryPriority aNeed, TimePoint aNow)
 {
-  if (!this->open(aNeed, aNow)) {
+  if (!this->mayRetry(aNeed, aNow)) {
     return false;
   }
   ++this->slices[static_cast<std::size_t>(this->newest) % kSlices].retries;
--- a/tests/unit/admit/AccountSharesTest.cpp
+++ b/tests/unit/admit/AccountSharesTest.cpp
@@ -56,9 +56,9 @@
 
   void exchange(std::size_t aEntry, TimePoint aNow, Duration aDelay, bool aLost)
   {
-    for (const WishList& list : entries[aEntry].wishes(aNow)) {
+    for (const DemandList& list : entries[aEntry].demands(aNow)) {
       const auto grants =
-        byName(list.owner).grant(entryNames[aEntry], list.wishes, aNow);
+        byName(list.owner).grant(entryNames[aEntry], list.demands, aNow);
       if (!aLost) {
         inTransit.push_back(InTransit{ aEntry, grants, aNow, aNow + aDelay });
       }
--- a/tests/unit/admit/AdmissionControlTest.cpp
+++ b/tests/unit/admit/AdmissionControlTest.cpp
@@ -33,7 +33,7 @@
 admission()
 {
   AdmissionPolicy policy;
-  policy.firstLimit = 100;
+  policy.initialLimit = 100;
   policy.interval = std::chrono::milliseconds{ 200 };
   AdmissionControl control = AdmissionControl::create(policy, 3).value();
   control.configure(configuration(), kStart);
--- a/tests/unit/retry/CrashWatchTest.cpp
+++ b/tests/unit/retry/CrashWatchTest.cpp
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 constexpr Fingerprint kRequest{ 1, 2 };
-const ServedContents kNone;
+const RecentlyServedRequests kNone;
 
 TEST(CrashWatch, ABrokenAnswerIsNoEndOfItsReplica)
 {
@@ -41,7 +41,7 @@
   CrashWatch watch{ seconds{ 4 } };
   watch.onBroken(CrashReport{ kRequest, "a", true }, kStart);
   watch.onBroken(CrashReport{ Fingerprint{ 5, 6 }, "a", true }, kStart);
-  ServedContents served;
+  RecentlyServedRequests served;
   served.onServed(Fingerprint{ 5, 6 }, kStart - seconds{ 1 });
   served.onServed(kRequest, kStart + milliseconds{ 20 });
   const auto reports = watch.onEnded("a", served, kStart + seconds{ 2 });
--- a/tests/unit/retry/ServedContentsTest.cpp
+++ b/tests/unit/retry/RecentlyServedRequestsTest.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/retry/ServedContents.h"
+#include "poplartrack/retry/RecentlyServedRequests.h"
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 constexpr Fingerprint kContent{ 1, 2 };
 
-TEST(ServedContents, RemembersTheLastTimeForAMinute)
+TEST(RecentlyServedRequests, RemembersTheLastTimeForAMinute)
 {
-  ServedContents served;
+  RecentlyServedRequests served;
   EXPECT_FALSE(served.lastServed(kContent, kStart));
   served.onServed(kContent, kStart);
   served.onServed(kContent, kStart + seconds{ 20 });
@@ -22,9 +22,9 @@
   EXPECT_FALSE(served.lastServed(kContent, kStart + seconds{ 80 }));
 }
 
-TEST(ServedContents, StaysBounded)
+TEST(RecentlyServedRequests, StaysBounded)
 {
-  ServedContents served;
+  RecentlyServedRequests served;
   served.onServed(kContent, kStart);
   std::size_t known = 0;
   constexpr std::uint64_t kMany = 20'000;
--- a/tests/unit/retry/RetryBudgetsTest.cpp
+++ b/tests/unit/retry/RetryBudgetsTest.cpp
@@ -30,12 +30,12 @@
   }
   const TimePoint later = kStart + std::chrono::seconds{ 2 };
   int retries = 0;
-  while (budgets.of("engines").tryRetry(RetryNeed::Started, later)) {
+  while (budgets.of("engines").tryRetry(RetryPriority::Started, later)) {
     ++retries;
   }
   EXPECT_GT(retries, 0);
   EXPECT_LE(retries, 10);
-  EXPECT_TRUE(budgets.of("plain").tryRetry(RetryNeed::Started, later));
+  EXPECT_TRUE(budgets.of("plain").tryRetry(RetryPriority::Started, later));
 }
 
 TEST(RetryBudgets, WhatALifeSpentCountsBesideItsSuccessor)
@@ -49,7 +49,7 @@
   SharedRetryBudget& budget = budgets.of("engines");
   budget.onPeer("10.0.0.1:1/7", RetryCounts{ 0, 100 }, kStart);
   budget.onPeer("10.0.0.1:1/8", RetryCounts{ 0, 0 }, kStart);
-  EXPECT_FALSE(budget.open(RetryNeed::Started, kStart));
+  EXPECT_FALSE(budget.mayRetry(RetryPriority::Started, kStart));
 }
 
 } // namespace
--- a/tests/unit/retry/SharedRetryBudgetTest.cpp
+++ b/tests/unit/retry/SharedRetryBudgetTest.cpp
@@ -29,7 +29,7 @@
 retriesNow(SharedRetryBudget& aBudget, TimePoint aNow)
 {
   int count = 0;
-  while (aBudget.tryRetry(RetryNeed::Started, aNow)) {
+  while (aBudget.tryRetry(RetryPriority::Started, aNow)) {
     ++count;
   }
   return count;
@@ -61,16 +61,16 @@
   for (int i = 0; i < 400; ++i) {
     budget.onRequest(kStart);
   }
-  const auto spend = [&](RetryNeed aNeed) {
+  const auto spend = [&](RetryPriority aNeed) {
     int count = 0;
     while (budget.tryRetry(aNeed, kStart + std::chrono::seconds{ 2 })) {
       ++count;
     }
     return count;
   };
-  const int planned = spend(RetryNeed::Planned);
-  const int fresh = spend(RetryNeed::Fresh);
-  const int started = spend(RetryNeed::Started);
+  const int planned = spend(RetryPriority::Planned);
+  const int fresh = spend(RetryPriority::Unanswered);
+  const int started = spend(RetryPriority::Started);
   EXPECT_GT(planned, 0);
   EXPECT_GT(fresh, 0);
   EXPECT_GE(started, (planned + fresh + started) / 4);
@@ -83,10 +83,10 @@
   budget.setRelays(2);
   budget.onRequest(kStart);
   budget.onPeer("other", RetryCounts{ 10, 300 }, kStart);
-  EXPECT_FALSE(budget.open(RetryNeed::Started, kStart));
+  EXPECT_FALSE(budget.mayRetry(RetryPriority::Started, kStart));
   // ... until the window has passed.
-  EXPECT_TRUE(
-    budget.open(RetryNeed::Started, kStart + std::chrono::seconds{ 11 }));
+  EXPECT_TRUE(budget.mayRetry(RetryPriority::Started,
+                              kStart + std::chrono::seconds{ 11 }));
 }
 
 TEST(SharedRetryBudgetTest, ARelayThatHearsNobodyUsesItsOwnSlackOnly)
@@ -127,7 +127,8 @@
       moment.requests += requests;
       const int wanted = burst ? 100 : static_cast<int>(random() % 3);
       for (int k = 0; k < wanted; ++k) {
-        moment.retries += budgets[i].tryRetry(RetryNeed::Started, now) ? 1 : 0;
+        moment.retries +=
+          budgets[i].tryRetry(RetryPriority::Started, now) ? 1 : 0;
       }
     }
     for (std::size_t i = 0; i < relays; ++i) {
