--- a/include/poplartrack/retry/CrashLedger.h
+++ b/include/poplartrack/retry/CrashLedger.h
@@ -14,7 +14,7 @@
 
 namespace poplartrack {
 
-/** Who saw what is entered into the ledger. */
+/** Which process saw the event that the ledger records. */
 enum class CrashSource : std::uint8_t
 {
   Own,
@@ -22,85 +22,101 @@
 };
 
 /**
- * Which requests replicas ended under, as all relays know it together, and
- * which of them are therefore in quarantine: sent to no replica. Two ends just
- * after the request began are enough, or three at any time; a run that ends
- * well clears it.
+ * Records which requests replicas crashed under, as seen by this relay and its
+ * peers, and derives which requests are in quarantine, that is, sent to no
+ * replica. Two crashes just after the request began put it into quarantine, and
+ * so do three crashes at any time. A run of the request that completes clears
+ * it.
  *
- * A request that crashes replicas comes again under new ids, to any relay:
- * known by its id alone, it takes one replica after the other.
+ * Requests are identified by their fingerprint. A request that crashes replicas
+ * is sent again under new request ids and to any relay; tracked by its id, it
+ * would crash one replica after the other.
  *
- * Ledgers agree once they have heard the same, in any order and however often.
- * Pure; not thread-safe.
+ * Ledgers that have received the same reports agree, whatever the order and
+ * however often each report arrived. Does no I/O; not thread-safe.
  */
 class CrashLedger
 {
 public:
-  /** Enters that a replica ended under a request; true when that puts it into
-   * quarantine. */
+  /** Records that a replica crashed while it ran a request. Returns true if
+   * that puts the request into quarantine. */
   bool onCrash(const CrashReport& aReport, CrashSource aSource, TimePoint aNow);
-  /** Another relay, or the store, says that a request is in quarantine, for
-   * this long already; true when this one did not know. */
+  /** Records that another relay or the store reports a request as in
+   * quarantine since aAge ago. Returns true if it was not in quarantine here.
+   */
   bool onQuarantined(const Fingerprint& aRequest,
                      Duration aAge,
                      TimePoint aNow);
-  /** A replica ran the request to its end: no end so far was its doing. True
-   * when that ends a quarantine. */
+  /** Records that a replica completed the request, so that none of the crashes
+   * so far counts against it any more. Returns true if that ends a quarantine.
+   */
   bool onServed(const Fingerprint& aRequest, TimePoint aNow);
-  /** The request was served before it came into quarantine: from that moment
-   * on it may run once more, unless too many replicas have ended under it. */
+  /** Allows one trial run of a request in quarantine from aFrom on, because it
+   * had been served shortly before. A request that too many replicas crashed
+   * under gets no trial. */
   void allowTrial(const Fingerprint& aRequest, TimePoint aFrom);
-  /** Whether it may run once now; takes the trial if so. */
+  /** Returns whether a trial run is allowed now, and uses it up if so. */
   bool takeTrial(const Fingerprint& aRequest, TimePoint aNow);
-  /** Forgets what is over. */
+  /** Drops quarantines and histories whose time is over. */
   void expire(TimePoint aNow);
 
-  /** Nothing is known of any request. */
-  [[nodiscard]] bool empty() const { return this->suspects.empty(); }
-  /** How long the request stays in quarantine; nothing when it is not. */
+  [[nodiscard]] bool empty() const { return this->histories.empty(); }
+  /** Returns how long the request stays in quarantine, or nullopt if it is not
+   * in quarantine. */
   [[nodiscard]] std::optional<Duration> quarantineLeft(
     const Fingerprint& aRequest,
     TimePoint aNow) const;
-  /** All requests in quarantine. */
+  /** Returns all requests in quarantine. */
   [[nodiscard]] std::vector<QuarantineRecord> quarantine(TimePoint aNow) const;
-  /** Ends that were entered lately, for the others; first those just after the
-   * request began. */
-  [[nodiscard]] std::vector<CrashReport> latestCrashes(TimePoint aNow,
-                                                       std::size_t aMost) const;
-  /** Requests that were cleared lately. */
+  /** Returns at most aMaxCount crashes that were recorded recently, to be sent
+   * to the other relays. Crashes just after the request began come first. */
+  [[nodiscard]] std::vector<CrashReport> latestCrashes(
+    TimePoint aNow,
+    std::size_t aMaxCount) const;
+  /** Returns the requests that were cleared recently, to be sent to the other
+   * relays. */
   [[nodiscard]] std::vector<Fingerprint> latestServed(TimePoint aNow) const;
 
 private:
-  /** What the end of one replica says of a request. */
-  enum class Weight : std::uint8_t
+  /** How much the crash of one replica counts against a request. */
+  enum class CrashKind : std::uint8_t
   {
-    /** The request has ended well since. */
-    Excused,
+    /** Does not count: the request has been served since. */
+    Cleared,
+    /** The request had been running for a while. */
     Late,
+    /** The request had just begun, or had not begun yet. */
     Early,
   };
 
-  struct End
+  struct Crash
   {
-    Weight weight = Weight::Late;
-    TimePoint entered;
+    CrashKind kind = CrashKind::Late;
+    TimePoint recordedAt;
   };
 
-  struct Suspect
+  /** What is known of one request. */
+  struct RequestHistory
   {
-    std::map<std::string, End> ends;
-    /** The latest that was entered. */
-    TimePoint latest;
+    /** By the id of the replica that crashed. */
+    std::map<std::string, Crash> crashes;
+    TimePoint lastUpdate;
     std::optional<TimePoint> quarantinedSince;
+    /** This process saw the crash that led to the quarantine. */
     bool own = false;
+    /** When it was last cleared. */
     std::optional<TimePoint> servedAt;
+    /** When its trial run may start; nullopt if none is allowed. */
     std::optional<TimePoint> trialFrom;
   };
 
-  [[nodiscard]] static bool convicts(const Suspect& aSuspect);
-  Suspect& suspectOf(const Fingerprint& aRequest, TimePoint aNow);
+  /** Returns whether there are enough crashes for a quarantine. */
+  [[nodiscard]] static bool needsQuarantine(const RequestHistory& aHistory);
+  /** Returns the history of a request and marks it as updated. Creates it if
+   * there is none, in place of the oldest one if there are too many. */
+  RequestHistory& historyOf(const Fingerprint& aRequest, TimePoint aNow);
 
-  std::map<Fingerprint, Suspect> suspects;
+  std::map<Fingerprint, RequestHistory> histories;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/retry/CrashReport.h
+++ b/include/poplartrack/retry/CrashReport.h
@@ -6,13 +6,13 @@
 
 namespace poplartrack {
 
-/** A replica ended while it ran a request. */
+/** The report that a replica crashed while it ran a request. */
 struct CrashReport
 {
   Fingerprint request;
-  /** Id of one start of the replica. */
+  /** Id of one incarnation of the replica. */
   std::string replica;
-  /** It had just begun to run the request, or not yet. */
+  /** The replica had just begun to run the request, or had not begun yet. */
   bool early = false;
 
   friend bool operator==(const CrashReport&, const CrashReport&) = default;
--- a/include/poplartrack/retry/CrashWatch.h
+++ b/include/poplartrack/retry/CrashWatch.h
@@ -12,41 +12,48 @@
 namespace poplartrack {
 
 /**
- * Requests that broke off at a replica, until it is known whether the replica
- * has ended. A connection alone does not tell: replicas lose single answers and
- * break some off, and live on. Pure; not thread-safe.
+ * Holds requests whose connection to a replica broke, until it is known whether
+ * the replica has crashed. The broken connection alone does not show a crash:
+ * replicas that are alive lose single answers and break some off. Does no I/O;
+ * not thread-safe.
  */
 class CrashWatch
 {
 public:
-  /** @param aPatience after this long a replica that is not known to have ended
-   * lives */
-  explicit CrashWatch(Duration aPatience)
-    : patience(aPatience)
+  /** @param aTimeout after this time a replica that is not known to have
+   * crashed is taken to be alive */
+  explicit CrashWatch(Duration aTimeout)
+    : timeout(aTimeout)
   {
   }
 
+  /** Records that a request broke off at a replica. The report becomes valid if
+   * the replica turns out to have crashed. */
   void onBroken(CrashReport aReport, TimePoint aNow);
-  /** The replicas of which an end would tell something. */
+  /** Returns the replicas with requests that broke off there. */
   [[nodiscard]] std::set<std::string> replicas() const;
-  /** The replica has ended: what broke off there, each request once, but for
-   * what was served elsewhere since. */
-  std::vector<CrashReport> onEnded(const std::string& aReplica,
-                                   const RecentlyServedRequests& aServed,
-                                   TimePoint aNow);
-  /** The replica ends as planned, or lives. */
-  void forget(const std::string& aReplica) { this->waiting.erase(aReplica); }
+  /** Called when the replica has crashed. Returns one report for each request
+   * that broke off there, except for requests that have been served elsewhere
+   * since. */
+  std::vector<CrashReport> onCrashed(const std::string& aReplica,
+                                     const RecentlyServedRequests& aServed,
+                                     TimePoint aNow);
+  /** Drops the requests of a replica that is alive or stopped as planned. */
+  void forget(const std::string& aReplica) { this->pending.erase(aReplica); }
+  /** Drops requests that broke off longer ago than the timeout. */
   void expire(TimePoint aNow);
 
 private:
+  /** A request that broke off. */
   struct Broken
   {
     CrashReport report;
     TimePoint at;
   };
 
-  Duration patience;
-  std::map<std::string, std::vector<Broken>> waiting;
+  Duration timeout;
+  /** By replica. */
+  std::map<std::string, std::vector<Broken>> pending;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/retry/Fingerprint.h
+++ b/include/poplartrack/retry/Fingerprint.h
@@ -10,21 +10,23 @@
 
 namespace poplartrack {
 
-/** What a caller asks for, whatever id the request has: 128 bits of a
- * cryptographic hash, so that nobody can make a request that passes for
- * another one's. */
+/** Identifies the content of a request, whatever its request id: 128 bits of a
+ * cryptographic hash, so that nobody can construct a request with the
+ * fingerprint of another one. */
 struct Fingerprint
 {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
 
-  // The linter takes the zero that a defaulted <=> compares with for a null.
+  // The linter takes the zero that a defaulted <=> compares with for a null
+  // pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   friend auto operator<=>(const Fingerprint&, const Fingerprint&) = default;
   MSGPACK_DEFINE(high, low);
 };
 
-/** What makes two requests the same. Valid only while its texts are. */
+/** The parts of a request that its fingerprint covers. Refers to the caller's
+ * strings and is valid only as long as they are. */
 struct RequestContent
 {
   /** Client account; empty where the route needs no key. */
@@ -36,14 +38,16 @@
   std::string_view body;
 };
 
+/** Returns the fingerprint of a request. */
 Fingerprint
 fingerprintOf(const RequestContent& aContent);
 
-/** 32 lower-case hex digits. */
+/** Returns the fingerprint as 32 lower-case hex digits. */
 std::string
 toText(const Fingerprint& aFingerprint);
 
-/** What toText wrote, or nothing when the text is no fingerprint. */
+/** Parses the output of toText. Returns nullopt if the text is not a
+ * fingerprint. */
 std::optional<Fingerprint>
 fingerprintFromText(std::string_view aText);
 
--- a/include/poplartrack/retry/QuarantineRecord.h
+++ b/include/poplartrack/retry/QuarantineRecord.h
@@ -5,13 +5,15 @@
 
 namespace poplartrack {
 
-/** A request that is sent to no replica, since replicas ended under it. */
+/** A request that is sent to no replica, because replicas crashed while they
+ * ran it. */
 struct QuarantineRecord
 {
   Fingerprint request;
-  /** How long it has been so. */
+  /** Time since the quarantine began. */
   Duration age{ 0 };
-  /** This process saw the end that decided it; others were told. */
+  /** This process saw the crash that led to the quarantine, rather than
+   * receiving it from a peer or the store. */
   bool own = false;
 
   friend bool operator==(const QuarantineRecord&,
--- a/include/poplartrack/retry/RecentlyServedRequests.h
+++ b/include/poplartrack/retry/RecentlyServedRequests.h
@@ -10,25 +10,31 @@
 namespace poplartrack {
 
 /**
- * Which contents replicas ran to a good end lately, and when last. What many
- * callers ask for is in flight at many replicas, and so at each one that
- * crashes by itself. Bounded; pure; not thread-safe.
+ * Remembers which requests replicas completed recently, by fingerprint, and
+ * when last. A request that many callers send is in flight at many replicas,
+ * and so also at any replica that crashes for another reason; having been
+ * served recently, it is unlikely to be the cause. Bounded; does no I/O; not
+ * thread-safe.
  */
 class RecentlyServedRequests
 {
 public:
+  /** Records that a replica completed the request. */
   void onServed(const Fingerprint& aContent, TimePoint aNow);
-  /** When it was last served; nothing when that is longer ago than a minute. */
+  /** Returns when the request was last served, or nullopt if that was more than
+   * a minute ago. */
   [[nodiscard]] std::optional<TimePoint> lastServed(const Fingerprint& aContent,
                                                     TimePoint aNow) const;
 
 private:
-  using Moments = std::map<Fingerprint, TimePoint>;
+  using ServedTimes = std::map<Fingerprint, TimePoint>;
 
-  /** Those of the present half minute, and of the one before it. */
-  Moments present;
-  Moments before;
-  TimePoint begunAt{};
+  /** Requests served in the current half minute. */
+  ServedTimes current;
+  /** Requests served in the half minute before it. */
+  ServedTimes previous;
+  /** Start of the current half minute. */
+  TimePoint currentSince{};
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/retry/RetryBudget.h
+++ b/include/poplartrack/retry/RetryBudget.h
@@ -4,52 +4,59 @@
 
 namespace poplartrack {
 
-/** How much may be tried again. */
+/** Bounds for retries. */
 struct RetryBudgetPolicy
 {
-  /** Retries per first try. */
+  /** Retries per first attempt. */
   double ratio = 0.1;
-  /** Retries a second that are always allowed, for quiet times. */
+  /** Retries a second that are always allowed, for times with few requests. */
   double perSecond = 1;
-  /** Retries that stand ready for one loss, refilled by perSecond. Without
-   * them a quiet entry with ten requests in flight through a stage that dies
-   * could try only one of them again; it is what a node has in flight at 12.5
-   * requests a second. */
+  /** Retries available at once for the loss of one stage, refilled by
+   * perSecond. Without it, an entry with few requests and ten of them in flight
+   * through a stage that crashes could retry only one of them. The default is
+   * what a node has in flight at 12.5 requests a second. */
   double reserve = 16;
-  /** Time constant in which earned allowance fades. A full allowance pays for
-   * one retry of all that is in flight (3 s of requests) when an availability
-   * zone goes, and over the window no more than ratio again. */
+  /** Time constant with which earned retries decay. A full budget covers one
+   * retry of everything in flight (3 s of requests) when an availability zone
+   * fails. Over the window it earns no more than ratio again. */
   Duration window = std::chrono::seconds{ 30 };
 };
 
 /**
- * Bounds retries to a part of first tries, so that a brown-out does not grow
- * by its own retries: from its start on, retries <= ratio * requests +
- * perSecond * seconds + max(1, perSecond, reserve). What requests earned fades
- * over the window, so that a good hour does not pay for a bad minute. Not
- * thread-safe.
+ * Bounds retries to a fraction of first attempts, so that retries do not
+ * amplify a partial outage. At any time since construction, retries <= ratio *
+ * requests + perSecond * seconds + max(1, perSecond, reserve). Retries earned
+ * by requests decay over the window, so that an hour without failures does not
+ * allow a burst of retries afterwards. Not thread-safe.
  */
 class RetryBudget
 {
 public:
   explicit RetryBudget(const RetryBudgetPolicy& aPolicy);
 
-  /** Sets another policy. What has been earned stays; what time alone gave is
-   * cut to the new reserve. */
+  /** Replaces the policy. Retries earned by requests stay; those earned by time
+   * are cut to the new reserve. */
   void setPolicy(const RetryBudgetPolicy& aPolicy);
-  /** A first try came. */
+  /** Counts a first attempt. */
   void onRequest(TimePoint aNow);
-  /** Whether one retry may be made now; takes it from the budget if so. */
+  /** Returns whether one retry may be made now, and takes it from the budget if
+   * so. */
   bool tryRetry(TimePoint aNow);
-  [[nodiscard]] double balance() const { return this->earned + this->quiet; }
+  /** Returns the retries left, as of the last call that changed the budget. */
+  [[nodiscard]] double balance() const
+  {
+    return this->earned + this->earnedByTime;
+  }
 
 private:
+  /** Decays and refills the budget up to aNow. */
   void advance(TimePoint aNow);
 
   RetryBudgetPolicy policy;
-  /** Retries earned by requests, and by time alone. */
+  /** Retries earned by requests. */
   double earned = 0;
-  double quiet;
+  /** Retries earned by time alone; starts with the reserve. */
+  double earnedByTime;
   TimePoint last{};
   bool started = false;
 };
--- a/include/poplartrack/retry/RetryBudgets.h
+++ b/include/poplartrack/retry/RetryBudgets.h
@@ -9,10 +9,10 @@
 namespace poplartrack {
 
 /**
- * A shared retry budget for each service. The bound holds for the attempts that
- * reach one service, by the requests for it: counted together, the calls of a
- * plain service paid for retries at the engines, which passed their bound.
- * Not thread-safe.
+ * Holds one shared retry budget per service. Each service's retries are bounded
+ * by the requests for that service. With one budget for all, the requests for a
+ * plain service would earn retries that are spent at the engines, which then
+ * exceed their bound. Not thread-safe.
  */
 class RetryBudgets
 {
@@ -22,7 +22,7 @@
   {
   }
 
-  /** The budget of a service; made at the first question. */
+  /** Returns the budget of a service and creates it on first use. */
   SharedRetryBudget& of(const std::string& aService)
   {
     const auto [found, isNew] =
@@ -32,7 +32,8 @@
     }
     return found->second;
   }
-  /** Relays that exist, this one included. */
+  /** Sets the number of relays that exist, this one included, for all budgets.
+   */
   void setRelays(std::size_t aRelays)
   {
     this->relays = aRelays;
@@ -40,6 +41,7 @@
       budget.setRelays(aRelays);
     }
   }
+  /** Returns the budgets by service. */
   [[nodiscard]] std::map<std::string, SharedRetryBudget>& all()
   {
     return this->budgets;
--- a/include/poplartrack/retry/RetryPriority.h
+++ b/include/poplartrack/retry/RetryPriority.h
@@ -4,14 +4,17 @@
 
 namespace poplartrack {
 
-/** What a retry is wanted for, from what can best be left to what cannot. */
+/** Why a retry is wanted, from the lowest priority to the highest. A higher
+ * priority may use a larger part of the retry budget. */
 enum class RetryPriority : std::uint8_t
 {
-  /** A stream is moved off a replica that leaves and still serves. */
+  /** A stream is moved off a replica that drains and still serves. */
   Planned,
-  /** The caller has nothing yet: refused, it can come back. */
+  /** The caller has received nothing yet: if rejected, it can send the request
+   * again. */
   Unanswered,
-  /** The caller has part of a stream, which is cut without another attempt. */
+  /** The caller has received part of a stream, which is cut without another
+   * attempt. */
   Started,
 };
 
--- a/include/poplartrack/retry/StallDetector.h
+++ b/include/poplartrack/retry/StallDetector.h
@@ -6,34 +6,36 @@
 
 namespace poplartrack {
 
-/** When silence means a stall. */
+/** When an attempt without new tokens counts as stalled. */
 struct StallPolicy
 {
-  /** Silence over expected pace before a stall is assumed. */
+  /** Time without a token, as a multiple of the expected time per token, after
+   * which a stall is assumed. */
   double factor = 8;
-  /** Never sooner, never later than these. */
+  /** Bounds of that time. */
   Duration shortest = std::chrono::milliseconds{ 250 };
   Duration longest = std::chrono::seconds{ 10 };
 };
 
 /**
- * Watches one attempt's pace. The patience follows the pace that the route was
- * chosen for and the one seen since, in place of one fixed time-out: a slow
- * accelerator's ordinary step would trip it, a fast one's death would go
- * unseen for long. Not thread-safe.
+ * Detects that one attempt has stalled. The timeout adapts to the pace for
+ * which the route was chosen and to the pace seen since. A fixed timeout would
+ * be exceeded by an ordinary step of a slow accelerator, and would detect the
+ * crash of a fast one late. Not thread-safe.
  */
 class StallDetector
 {
 public:
-  /** Starts the watch: the first token is awaited. */
+  /** Starts at aNow to wait for the first token. */
   StallDetector(const StallPolicy& aPolicy,
                 Duration aExpectedFirstToken,
                 Duration aExpectedPerToken,
                 TimePoint aNow);
 
-  /** A token came. */
+  /** Records that a token has arrived. */
   void onToken(TimePoint aNow);
-  /** When the attempt counts as stalled if nothing comes. */
+  /** Returns the time from which the attempt counts as stalled if no token
+   * arrives before. */
   [[nodiscard]] TimePoint stallsAt() const;
   [[nodiscard]] bool stalled(TimePoint aNow) const
   {
@@ -41,13 +43,16 @@
   }
 
 private:
-  [[nodiscard]] Duration patience() const;
+  /** Returns the longest time without a token that is no stall yet. */
+  [[nodiscard]] Duration timeout() const;
 
   StallPolicy policy;
-  Duration awaited;
-  /** Smoothed gap between tokens and its mean deviation, microseconds. */
+  Duration expectedFirstToken;
+  /** Smoothed gap between tokens, microseconds. */
   double gap;
+  /** Smoothed absolute deviation of the gap, microseconds. */
   double deviation;
+  /** When the last token arrived; the start if there was none. */
   TimePoint last;
   std::uint32_t tokens = 0;
 };
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -73,7 +73,7 @@
       continue;
     }
     for (const CrashReport& report :
-         this->crashWatch.onEnded(replica, this->recentlyServed, this->now)) {
+         this->crashWatch.onCrashed(replica, this->recentlyServed, this->now)) {
       this->shared.metrics.count("requests_at_ended_replicas_total");
       if (this->crashes.onCrash(report, CrashSource::Own, this->now)) {
         this->onQuarantine(report.request, true);
--- a/src/retry/CrashLedger.cpp
+++ b/src/retry/CrashLedger.cpp
@@ -6,71 +6,76 @@
 namespace poplartrack {
 namespace {
 
-/** Replicas that end just after they began to run a request, until it is in
- * quarantine. One end takes all requests that are there; a second one so soon
- * after each beginning is chance for few. */
-constexpr std::size_t kEarlyEnds = 2;
-
-/** ... and replicas that end under it at any time. */
-constexpr std::size_t kEnds = 3;
-
-/** With this many ends no trial is made any more: whoever asks for it, few
- * replicas end under one request. */
-constexpr std::size_t kEndsWithoutTrial = 5;
-
-/** A quarantine lasts this long: after that the replicas may run another
- * version, which the request does not end. */
-constexpr Duration kQuarantineTime = std::chrono::hours{ 1 };
-
-/** Ends that put nothing into quarantine are forgotten after this. */
-constexpr Duration kSuspectTime = std::chrono::minutes{ 10 };
+/** Number of replicas that crash just after they began to run a request at
+ * which it is put into quarantine. One crash involves every request at that
+ * replica; few of them are by chance also at the start when a second replica
+ * crashes. */
+constexpr std::size_t kEarlyCrashLimit = 2;
+
+/** Number of replicas that crash at any time while they run a request at which
+ * it is put into quarantine. */
+constexpr std::size_t kCrashLimit = 3;
+
+/** Number of crashed replicas from which on no trial run is allowed. Even a
+ * request that many callers send is rarely in flight at so many replicas that
+ * crash for another reason. */
+constexpr std::size_t kTrialCrashLimit = 5;
+
+/** How long a quarantine lasts. By then the replicas may run another version,
+ * which the request does not crash. */
+constexpr Duration kQuarantineDuration = std::chrono::hours{ 1 };
+
+/** A history without a quarantine is dropped this long after its last update.
+ */
+constexpr Duration kHistoryRetention = std::chrono::minutes{ 10 };
 
-/** News are told for this long: five words to other zones, of which some may
- * be lost. */
-constexpr Duration kNewsTime = std::chrono::seconds{ 2 };
+/** How long a crash or a cleared request is included in the status messages. In
+ * this time five messages go to other zones, of which some may be lost. */
+constexpr Duration kAnnounceDuration = std::chrono::seconds{ 2 };
 
-/** Requests of which something is known; above them the oldest are forgotten.
+/** Largest number of histories; beyond it the oldest is dropped for a new one.
  */
-constexpr std::size_t kMostSuspects = 4'096;
+constexpr std::size_t kMaxHistories = 4'096;
 
 } // namespace
 
 bool
-CrashLedger::convicts(const Suspect& aSuspect)
+CrashLedger::needsQuarantine(const RequestHistory& aHistory)
 {
   std::size_t early = 0;
   std::size_t all = 0;
-  for (const auto& [replica, end] : aSuspect.ends) {
-    early += end.weight == Weight::Early ? 1 : 0;
-    all += end.weight == Weight::Excused ? 0 : 1;
+  for (const auto& [replica, crash] : aHistory.crashes) {
+    early += crash.kind == CrashKind::Early ? 1 : 0;
+    all += crash.kind == CrashKind::Cleared ? 0 : 1;
   }
-  return early >= kEarlyEnds || all >= kEnds;
+  return early >= kEarlyCrashLimit || all >= kCrashLimit;
 }
 
-CrashLedger::Suspect&
-CrashLedger::suspectOf(const Fingerprint& aRequest, TimePoint aNow)
+CrashLedger::RequestHistory&
+CrashLedger::historyOf(const Fingerprint& aRequest, TimePoint aNow)
 {
-  const auto known = this->suspects.find(aRequest);
-  if (known != this->suspects.end()) {
-    known->second.latest = aNow;
+  const auto known = this->histories.find(aRequest);
+  if (known != this->histories.end()) {
+    known->second.lastUpdate = aNow;
     return known->second;
   }
-  if (this->suspects.size() >= kMostSuspects) {
-    // Those in quarantine go last: each would end two replicas more.
+  if (this->histories.size() >= kMaxHistories) {
+    // Quarantined requests are dropped last: each would crash two more replicas
+    // before it is in quarantine again.
     const auto rank = [](const auto& aEntry) {
       return std::pair{ aEntry.second.quarantinedSince.has_value(),
-                        aEntry.second.latest };
+                        aEntry.second.lastUpdate };
     };
-    this->suspects.erase(
-      std::min_element(this->suspects.begin(),
-                       this->suspects.end(),
+    this->histories.erase(
+      std::min_element(this->histories.begin(),
+                       this->histories.end(),
                        [&](const auto& aLeft, const auto& aRight) {
                          return rank(aLeft) < rank(aRight);
                        }));
   }
-  Suspect& suspect = this->suspects[aRequest];
-  suspect.latest = aNow;
-  return suspect;
+  RequestHistory& history = this->histories[aRequest];
+  history.lastUpdate = aNow;
+  return history;
 }
 
 bool
@@ -78,23 +83,23 @@
                      CrashSource aSource,
                      TimePoint aNow)
 {
-  const Weight weight = aReport.early ? Weight::Early : Weight::Late;
-  Suspect& suspect = this->suspectOf(aReport.request, aNow);
-  const auto [end, isNew] =
-    suspect.ends.try_emplace(aReport.replica, End{ weight, aNow });
+  const CrashKind kind = aReport.early ? CrashKind::Early : CrashKind::Late;
+  RequestHistory& history = this->historyOf(aReport.request, aNow);
+  const auto [crash, isNew] =
+    history.crashes.try_emplace(aReport.replica, Crash{ kind, aNow });
   const bool worse =
-    !isNew && end->second.weight == Weight::Late && weight == Weight::Early;
+    !isNew && crash->second.kind == CrashKind::Late && kind == CrashKind::Early;
   if (worse) {
-    end->second = End{ weight, aNow };
+    crash->second = Crash{ kind, aNow };
   }
   if (!isNew && !worse) {
     return false;
   }
-  if (suspect.quarantinedSince || !convicts(suspect)) {
+  if (history.quarantinedSince || !needsQuarantine(history)) {
     return false;
   }
-  suspect.quarantinedSince = aNow;
-  suspect.own = aSource == CrashSource::Own;
+  history.quarantinedSince = aNow;
+  history.own = aSource == CrashSource::Own;
   return true;
 }
 
@@ -103,51 +108,52 @@
                            Duration aAge,
                            TimePoint aNow)
 {
-  if (aAge >= kQuarantineTime) {
+  if (aAge >= kQuarantineDuration) {
     return false;
   }
-  Suspect& suspect = this->suspectOf(aRequest, aNow);
-  if (suspect.servedAt && aNow - *suspect.servedAt < kNewsTime) {
-    // The teller has not heard yet that it ended well.
+  RequestHistory& history = this->historyOf(aRequest, aNow);
+  if (history.servedAt && aNow - *history.servedAt < kAnnounceDuration) {
+    // The sender has not yet received the report that the request was served.
     return false;
   }
-  const bool isNew = !suspect.quarantinedSince;
-  suspect.quarantinedSince =
-    isNew ? aNow - aAge : std::min(*suspect.quarantinedSince, aNow - aAge);
+  const bool isNew = !history.quarantinedSince;
+  history.quarantinedSince =
+    isNew ? aNow - aAge : std::min(*history.quarantinedSince, aNow - aAge);
   return isNew;
 }
 
 bool
 CrashLedger::onServed(const Fingerprint& aRequest, TimePoint aNow)
 {
-  const auto found = this->suspects.find(aRequest);
-  if (found == this->suspects.end()) {
+  const auto found = this->histories.find(aRequest);
+  if (found == this->histories.end()) {
     return false;
   }
-  Suspect& suspect = found->second;
-  const bool known =
-    suspect.quarantinedSince ||
-    std::any_of(suspect.ends.begin(), suspect.ends.end(), [](const auto& aEnd) {
-      return aEnd.second.weight != Weight::Excused;
-    });
-  if (!known) {
+  RequestHistory& history = found->second;
+  const bool isSuspect =
+    history.quarantinedSince ||
+    std::any_of(
+      history.crashes.begin(), history.crashes.end(), [](const auto& aCrash) {
+        return aCrash.second.kind != CrashKind::Cleared;
+      });
+  if (!isSuspect) {
     return false;
   }
-  for (auto& [replica, end] : suspect.ends) {
-    end.weight = Weight::Excused;
+  for (auto& [replica, crash] : history.crashes) {
+    crash.kind = CrashKind::Cleared;
   }
-  suspect.servedAt = aNow;
-  suspect.latest = aNow;
-  const bool ends = suspect.quarantinedSince.has_value();
-  suspect.quarantinedSince.reset();
-  return ends;
+  history.servedAt = aNow;
+  history.lastUpdate = aNow;
+  const bool endsQuarantine = history.quarantinedSince.has_value();
+  history.quarantinedSince.reset();
+  return endsQuarantine;
 }
 
 void
 CrashLedger::allowTrial(const Fingerprint& aRequest, TimePoint aFrom)
 {
-  const auto found = this->suspects.find(aRequest);
-  if (found != this->suspects.end()) {
+  const auto found = this->histories.find(aRequest);
+  if (found != this->histories.end()) {
     found->second.trialFrom = aFrom;
   }
 }
@@ -155,15 +161,15 @@
 bool
 CrashLedger::takeTrial(const Fingerprint& aRequest, TimePoint aNow)
 {
-  const auto found = this->suspects.find(aRequest);
-  if (found == this->suspects.end()) {
+  const auto found = this->histories.find(aRequest);
+  if (found == this->histories.end()) {
     return false;
   }
-  Suspect& suspect = found->second;
-  const bool allowed = suspect.trialFrom && *suspect.trialFrom <= aNow &&
-                       suspect.ends.size() < kEndsWithoutTrial;
+  RequestHistory& history = found->second;
+  const bool allowed = history.trialFrom && *history.trialFrom <= aNow &&
+                       history.crashes.size() < kTrialCrashLimit;
   if (allowed) {
-    suspect.trialFrom.reset();
+    history.trialFrom.reset();
   }
   return allowed;
 }
@@ -171,23 +177,23 @@
 void
 CrashLedger::expire(TimePoint aNow)
 {
-  std::erase_if(this->suspects, [aNow](const auto& aEntry) {
-    const Suspect& suspect = aEntry.second;
-    return suspect.quarantinedSince
-             ? aNow - *suspect.quarantinedSince >= kQuarantineTime
-             : aNow - suspect.latest >= kSuspectTime;
+  std::erase_if(this->histories, [aNow](const auto& aEntry) {
+    const RequestHistory& history = aEntry.second;
+    return history.quarantinedSince
+             ? aNow - *history.quarantinedSince >= kQuarantineDuration
+             : aNow - history.lastUpdate >= kHistoryRetention;
   });
 }
 
 std::optional<Duration>
 CrashLedger::quarantineLeft(const Fingerprint& aRequest, TimePoint aNow) const
 {
-  const auto found = this->suspects.find(aRequest);
-  if (found == this->suspects.end() || !found->second.quarantinedSince) {
+  const auto found = this->histories.find(aRequest);
+  if (found == this->histories.end() || !found->second.quarantinedSince) {
     return std::nullopt;
   }
   const Duration left =
-    *found->second.quarantinedSince + kQuarantineTime - aNow;
+    *found->second.quarantinedSince + kQuarantineDuration - aNow;
   return left > Duration{ 0 } ? std::optional{ left } : std::nullopt;
 }
 
@@ -195,44 +201,44 @@
 CrashLedger::quarantine(TimePoint aNow) const
 {
   std::vector<QuarantineRecord> records;
-  for (const auto& [request, suspect] : this->suspects) {
-    if (suspect.quarantinedSince) {
+  for (const auto& [request, history] : this->histories) {
+    if (history.quarantinedSince) {
       records.push_back(QuarantineRecord{
-        request, aNow - *suspect.quarantinedSince, suspect.own });
+        request, aNow - *history.quarantinedSince, history.own });
     }
   }
   return records;
 }
 
 std::vector<CrashReport>
-CrashLedger::latestCrashes(TimePoint aNow, std::size_t aMost) const
+CrashLedger::latestCrashes(TimePoint aNow, std::size_t aMaxCount) const
 {
-  std::vector<CrashReport> latest;
-  for (const auto& [request, suspect] : this->suspects) {
-    for (const auto& [replica, end] : suspect.ends) {
-      const bool tells = end.weight != Weight::Excused;
-      if (tells && aNow - end.entered < kNewsTime) {
-        latest.push_back(
-          CrashReport{ request, replica, end.weight == Weight::Early });
+  std::vector<CrashReport> reports;
+  for (const auto& [request, history] : this->histories) {
+    for (const auto& [replica, crash] : history.crashes) {
+      const bool counts = crash.kind != CrashKind::Cleared;
+      if (counts && aNow - crash.recordedAt < kAnnounceDuration) {
+        reports.push_back(
+          CrashReport{ request, replica, crash.kind == CrashKind::Early });
       }
     }
   }
   std::stable_partition(
-    latest.begin(), latest.end(), [](const CrashReport& aReport) {
+    reports.begin(), reports.end(), [](const CrashReport& aReport) {
       return aReport.early;
     });
-  if (latest.size() > aMost) {
-    latest.resize(aMost);
+  if (reports.size() > aMaxCount) {
+    reports.resize(aMaxCount);
   }
-  return latest;
+  return reports;
 }
 
 std::vector<Fingerprint>
 CrashLedger::latestServed(TimePoint aNow) const
 {
   std::vector<Fingerprint> served;
-  for (const auto& [request, suspect] : this->suspects) {
-    if (suspect.servedAt && aNow - *suspect.servedAt < kNewsTime) {
+  for (const auto& [request, history] : this->histories) {
+    if (history.servedAt && aNow - *history.servedAt < kAnnounceDuration) {
       served.push_back(request);
     }
   }
--- a/src/retry/CrashWatch.cpp
+++ b/src/retry/CrashWatch.cpp
@@ -7,33 +7,33 @@
 void
 CrashWatch::onBroken(CrashReport aReport, TimePoint aNow)
 {
-  std::vector<Broken>& there = this->waiting[aReport.replica];
-  for (Broken& broken : there) {
+  std::vector<Broken>& pendingHere = this->pending[aReport.replica];
+  for (Broken& broken : pendingHere) {
     if (broken.report.request == aReport.request) {
       broken.report.early = broken.report.early || aReport.early;
       return;
     }
   }
-  there.push_back(Broken{ std::move(aReport), aNow });
+  pendingHere.push_back(Broken{ std::move(aReport), aNow });
 }
 
 std::set<std::string>
 CrashWatch::replicas() const
 {
   std::set<std::string> names;
-  for (const auto& [replica, there] : this->waiting) {
+  for (const auto& [replica, pendingHere] : this->pending) {
     names.insert(replica);
   }
   return names;
 }
 
 std::vector<CrashReport>
-CrashWatch::onEnded(const std::string& aReplica,
-                    const RecentlyServedRequests& aServed,
-                    TimePoint aNow)
+CrashWatch::onCrashed(const std::string& aReplica,
+                      const RecentlyServedRequests& aServed,
+                      TimePoint aNow)
 {
   std::vector<CrashReport> reports;
-  auto found = this->waiting.extract(aReplica);
+  auto found = this->pending.extract(aReplica);
   if (found.empty()) {
     return reports;
   }
@@ -49,12 +49,12 @@
 void
 CrashWatch::expire(TimePoint aNow)
 {
-  for (auto& [replica, there] : this->waiting) {
-    std::erase_if(there, [&](const Broken& aBroken) {
-      return aNow - aBroken.at > this->patience;
+  for (auto& [replica, pendingHere] : this->pending) {
+    std::erase_if(pendingHere, [&](const Broken& aBroken) {
+      return aNow - aBroken.at > this->timeout;
     });
   }
-  std::erase_if(this->waiting,
+  std::erase_if(this->pending,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
 }
 
--- a/src/retry/Fingerprint.cpp
+++ b/src/retry/Fingerprint.cpp
@@ -11,7 +11,8 @@
 namespace poplartrack {
 namespace {
 
-/** Adds a text with its length: no two contents give the same bytes. */
+/** Adds the length of a text and the text to the hash. The length marks where
+ * the text ends: two different contents never hash the same bytes. */
 void
 add(EVP_MD_CTX* aHash, std::string_view aText)
 {
--- a/src/retry/RecentlyServedRequests.cpp
+++ b/src/retry/RecentlyServedRequests.cpp
@@ -5,22 +5,25 @@
 namespace poplartrack {
 namespace {
 
-constexpr Duration kRemembered = std::chrono::seconds{ 60 };
+/** How long a served request is remembered. */
+constexpr Duration kRetention = std::chrono::seconds{ 60 };
 
-/** Contents of half that time; what comes above them is not noted. */
-constexpr std::size_t kMost = 4'096;
+/** Largest number of requests remembered from one half of the retention time;
+ * further ones are not recorded. */
+constexpr std::size_t kMaxRequestsPerHalf = 4'096;
 
 } // namespace
 
 void
 RecentlyServedRequests::onServed(const Fingerprint& aContent, TimePoint aNow)
 {
-  if (aNow - this->begunAt >= kRemembered / 2) {
-    this->before = std::exchange(this->present, {});
-    this->begunAt = aNow;
+  if (aNow - this->currentSince >= kRetention / 2) {
+    this->previous = std::exchange(this->current, {});
+    this->currentSince = aNow;
   }
-  if (this->present.size() < kMost || this->present.contains(aContent)) {
-    this->present.insert_or_assign(aContent, aNow);
+  if (this->current.size() < kMaxRequestsPerHalf ||
+      this->current.contains(aContent)) {
+    this->current.insert_or_assign(aContent, aNow);
   }
 }
 
@@ -28,9 +31,9 @@
 RecentlyServedRequests::lastServed(const Fingerprint& aContent,
                                    TimePoint aNow) const
 {
-  for (const Moments* moments : { &this->present, &this->before }) {
-    const auto found = moments->find(aContent);
-    if (found != moments->end() && aNow - found->second < kRemembered) {
+  for (const ServedTimes* servedTimes : { &this->current, &this->previous }) {
+    const auto found = servedTimes->find(aContent);
+    if (found != servedTimes->end() && aNow - found->second < kRetention) {
       return found->second;
     }
   }
--- a/src/retry/RetryBudget.cpp
+++ b/src/retry/RetryBudget.cpp
@@ -12,8 +12,10 @@
   return std::chrono::duration<double>(aDuration).count();
 }
 
+/** Returns the bound of the retries earned by time alone. At least 1: one whole
+ * retry must fit. */
 double
-quietMost(const RetryBudgetPolicy& aPolicy)
+maxEarnedByTime(const RetryBudgetPolicy& aPolicy)
 {
   return std::max({ 1.0, aPolicy.perSecond, aPolicy.reserve });
 }
@@ -22,7 +24,7 @@
 
 RetryBudget::RetryBudget(const RetryBudgetPolicy& aPolicy)
   : policy(aPolicy)
-  , quiet(std::max(aPolicy.perSecond, aPolicy.reserve))
+  , earnedByTime(std::max(aPolicy.perSecond, aPolicy.reserve))
 {
 }
 
@@ -36,15 +38,16 @@
   const double passed = std::max(0.0, seconds(aNow - this->last));
   this->last = std::max(this->last, aNow);
   this->earned *= std::exp(-passed / seconds(this->policy.window));
-  this->quiet = std::min(quietMost(this->policy),
-                         this->quiet + passed * this->policy.perSecond);
+  this->earnedByTime =
+    std::min(maxEarnedByTime(this->policy),
+             this->earnedByTime + passed * this->policy.perSecond);
 }
 
 void
 RetryBudget::setPolicy(const RetryBudgetPolicy& aPolicy)
 {
   this->policy = aPolicy;
-  this->quiet = std::min(this->quiet, quietMost(aPolicy));
+  this->earnedByTime = std::min(this->earnedByTime, maxEarnedByTime(aPolicy));
 }
 
 void
@@ -62,8 +65,8 @@
     this->earned -= 1;
     return true;
   }
-  if (this->quiet >= 1) {
-    this->quiet -= 1;
+  if (this->earnedByTime >= 1) {
+    this->earnedByTime -= 1;
     return true;
   }
   return false;
--- a/src/retry/SharedRetryBudget.cpp
+++ b/src/retry/SharedRetryBudget.cpp
@@ -5,28 +5,32 @@
 namespace poplartrack {
 namespace {
 
-/** Part of the bound that is used. The rest is for counts that are on their
- * way: a word may be lost, and the next one comes after 200 ms, from other
- * zones after 400. */
-constexpr double kUsed = 0.85;
+/** Part of the bound that relays use. The rest covers counts that have not
+ * arrived yet: a status message may be lost, and the next one comes after
+ * 200 ms, or after 400 ms from another zone. */
+constexpr double kUsablePart = 0.85;
 
-/** A relay that is silent for this long is not heard. */
-constexpr Duration kSilence = std::chrono::seconds{ 2 };
+/** A relay from which no counts have arrived for this long does not add to the
+ * slack. */
+constexpr Duration kPeerTimeout = std::chrono::seconds{ 2 };
 
-/** What was counted in the newest slice and these before it may not be in what
- * the others know: for half a second at least, in which two words are sent. */
-constexpr std::int64_t kUntoldSlices = 1;
+/** Number of slices before the current one whose counts, like those of the
+ * current one, are taken as not yet received by the other relays. With a window
+ * of 10 s they span at least half a second, in which two status messages are
+ * sent. */
+constexpr std::int64_t kUnreportedSlices = 1;
 
-/** Part of what is used that retries of each need may take, in the order of the
- * needs. */
-constexpr std::array<double, 3> kPartOfNeed{ 0.6, 0.7, 1.0 };
+/** Part of the usable bound that retries of each RetryPriority may take, in the
+ * order of its values. */
+constexpr std::array<double, 3> kPartByPriority{ 0.6, 0.7, 1.0 };
 
 } // namespace
 
 std::int64_t
 SharedRetryBudget::sliceAt(TimePoint aNow) const
 {
-  const Duration slice = this->policy.window / static_cast<int>(kParts);
+  const Duration slice =
+    this->policy.window / static_cast<int>(kSlicesPerWindow);
   return aNow.time_since_epoch() / std::max(slice, Duration{ 1 });
 }
 
@@ -42,7 +46,7 @@
   }
   this->newest = now;
   std::erase_if(this->peers, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heard > this->policy.window;
+    return aNow - aEntry.second.receivedAt > this->policy.window;
   });
 }
 
@@ -70,49 +74,55 @@
     sum.requests += slice.requests;
     sum.retries += slice.retries;
   }
-  // The oldest slice's requests may have left the window: the next slot of the
-  // ring holds them.
+  // The requests of the oldest slice may have left the window. That slice is in
+  // the ring's next slot.
   sum.requests -=
     this->slices[static_cast<std::size_t>(this->newest + 1) % kSlices].requests;
   return sum;
 }
 
 bool
-SharedRetryBudget::mayRetry(RetryPriority aNeed, TimePoint aNow)
+SharedRetryBudget::mayRetry(RetryPriority aPriority, TimePoint aNow)
 {
-  const RetryCounts mine = this->own(aNow);
+  const RetryCounts counted = this->own(aNow);
   RetryCounts latest;
-  for (std::int64_t i = 0; i <= kUntoldSlices; ++i) {
+  for (std::int64_t i = 0; i <= kUnreportedSlices; ++i) {
     const RetryCounts& slice =
       this->slices[static_cast<std::size_t>(this->newest - i) % kSlices];
     latest.requests += slice.requests;
     latest.retries += slice.retries;
   }
-  const double untold = latest.retries;
-  double requests = mine.requests;
-  double told = mine.retries - untold;
-  std::size_t heard = 1;
+  const double unreported = latest.retries;
+  double requests = counted.requests;
+  double reported = counted.retries - unreported;
+  std::size_t reporting = 1;
   for (const auto& [name, peer] : this->peers) {
     requests += peer.counts.requests;
-    told += peer.counts.retries;
-    heard += aNow - peer.heard <= kSilence ? 1 : 0;
+    reported += peer.counts.retries;
+    reporting += aNow - peer.receivedAt <= kPeerTimeout ? 1 : 0;
   }
-  const double known = static_cast<double>(std::max(this->relays, heard));
-  const double slack = this->policy.slack * static_cast<double>(heard) / known;
-  const double used = kUsed * kPartOfNeed.at(static_cast<std::size_t>(aNeed));
-  const double left = used * (this->policy.ratio * requests + slack) - told;
-  // Requests that the others may not know of yet would make the parts more
-  // than the whole. One more each, so that a relay without any has a part too.
-  const double settled =
-    mine.requests - std::min(mine.requests, latest.requests);
-  const double part = (settled + 1) / (requests + static_cast<double>(heard));
-  return untold + 1 <= part * left;
+  const double total = static_cast<double>(std::max(this->relays, reporting));
+  const double slack =
+    this->policy.slack * static_cast<double>(reporting) / total;
+  const double usable =
+    kUsablePart * kPartByPriority.at(static_cast<std::size_t>(aPriority));
+  const double left =
+    usable * (this->policy.ratio * requests + slack) - reported;
+  // Only requests that the other relays may already know of count towards the
+  // share: with the newer ones, the relays' shares would add up to more than
+  // the whole. One is added for each relay, so that a relay without requests
+  // has a share too.
+  const double reportedRequests =
+    counted.requests - std::min(counted.requests, latest.requests);
+  const double share =
+    (reportedRequests + 1) / (requests + static_cast<double>(reporting));
+  return unreported + 1 <= share * left;
 }
 
 bool
-SharedRetryBudget::tryRetry(RetryPriority aNeed, TimePoint aNow)
+SharedRetryBudget::tryRetry(RetryPriority aPriority, TimePoint aNow)
 {
-  if (!this->mayRetry(aNeed, aNow)) {
+  if (!this->mayRetry(aPriority, aNow)) {
     return false;
   }
   ++this->slices[static_cast<std::size_t>(this->newest) % kSlices].retries;
--- a/tests/unit/retry/CrashLedgerTest.cpp
+++ b/tests/unit/retry/CrashLedgerTest.cpp
@@ -22,7 +22,7 @@
   return CrashReport{ aRequest, aReplica, aEarly };
 }
 
-TEST(CrashLedger, TwoReplicasThatEndUnderABeginningRequestAreEnough)
+TEST(CrashLedger, TwoCrashesAtTheStartOfARequestQuarantineIt)
 {
   CrashLedger ledger;
   EXPECT_FALSE(
@@ -34,7 +34,7 @@
   EXPECT_FALSE(ledger.quarantineLeft(kOther, kStart));
 }
 
-TEST(CrashLedger, OneEndThatIsToldTwiceCountsOnce)
+TEST(CrashLedger, ACrashThatIsReportedRepeatedlyCountsOnce)
 {
   CrashLedger ledger;
   for (int i = 0; i < 5; ++i) {
@@ -43,7 +43,7 @@
   EXPECT_FALSE(ledger.quarantineLeft(kRequest, kStart));
 }
 
-TEST(CrashLedger, RequestsThatHadBeenThereForAWhileNeedAThirdEnd)
+TEST(CrashLedger, ARequestThatHadBeenRunningNeedsAThirdCrash)
 {
   CrashLedger ledger;
   ledger.onCrash(report(kRequest, "a", false), CrashSource::Own, kStart);
@@ -53,9 +53,10 @@
   EXPECT_TRUE(ledger.quarantineLeft(kRequest, kStart));
 }
 
-TEST(CrashLedger, ARequestThatARelayServedStartsAnew)
+TEST(CrashLedger, AServedRequestLosesItsCrashes)
 {
-  // A popular lookup that crashes of long ago put into quarantine.
+  // Guards against a popular lookup that is put into quarantine by crashes from
+  // before it was last served.
   CrashLedger ledger;
   ledger.onCrash(report(kRequest, "a", true), CrashSource::Own, kStart);
   ledger.onCrash(report(kRequest, "b", true), CrashSource::Own, kStart);
@@ -67,7 +68,7 @@
   EXPECT_TRUE(ledger.quarantineLeft(kRequest, kStart));
 }
 
-TEST(CrashLedger, ARelayThatHasNotHeardOfTheGoodEndDoesNotUndoIt)
+TEST(CrashLedger, APeerThatHasNotLearnedOfTheServedRequestDoesNotUndoIt)
 {
   CrashLedger ledger;
   ledger.onCrash(report(kRequest, "a", true), CrashSource::Own, kStart);
@@ -79,7 +80,7 @@
             std::vector<Fingerprint>{ kRequest });
 }
 
-TEST(CrashLedger, AQuarantineEndsWithTheOldestWordOfIt)
+TEST(CrashLedger, AQuarantineLastsFromItsEarliestReportedStart)
 {
   CrashLedger ledger;
   ledger.onQuarantined(kRequest, Duration{ 0 }, kStart);
@@ -91,7 +92,7 @@
   EXPECT_FALSE(ledger.onQuarantined(kRequest, hours{ 1 }, kStart));
 }
 
-TEST(CrashLedger, NewsAreToldForAWhileAndAQuarantineWhileItLasts)
+TEST(CrashLedger, CrashesAreReportedForAWhileAndAQuarantineWhileItLasts)
 {
   CrashLedger ledger;
   ledger.onCrash(report(kOther, "z", false), CrashSource::Own, kStart);
@@ -109,7 +110,7 @@
   EXPECT_FALSE(ledger.quarantine(later)[0].own);
 }
 
-TEST(CrashLedger, LedgersThatHeardTheSameAgree)
+TEST(CrashLedger, LedgersWithTheSameReportsAgree)
 {
   std::vector<CrashReport> reports;
   for (std::uint64_t request = 0; request < 20; ++request) {
@@ -121,13 +122,13 @@
       }
     }
   }
-  const auto verdicts = [&](unsigned aSeed) {
+  const auto quarantined = [&](unsigned aSeed) {
     std::mt19937 random{ aSeed };
-    std::vector<CrashReport> told = reports;
-    told.insert(told.end(), reports.begin(), reports.end());
-    std::shuffle(told.begin(), told.end(), random);
+    std::vector<CrashReport> received = reports;
+    received.insert(received.end(), reports.begin(), reports.end());
+    std::shuffle(received.begin(), received.end(), random);
     CrashLedger ledger;
-    for (const CrashReport& one : told) {
+    for (const CrashReport& one : received) {
       ledger.onCrash(one, CrashSource::Peer, kStart);
     }
     std::vector<Fingerprint> held;
@@ -136,11 +137,11 @@
     }
     return held;
   };
-  const std::vector<Fingerprint> first = verdicts(1);
+  const std::vector<Fingerprint> first = quarantined(1);
   EXPECT_FALSE(first.empty());
   EXPECT_LT(first.size(), 20U);
   for (unsigned seed = 2; seed < 50; ++seed) {
-    EXPECT_EQ(verdicts(seed), first);
+    EXPECT_EQ(quarantined(seed), first);
   }
 }
 
@@ -159,9 +160,10 @@
   EXPECT_LE(ledger.latestCrashes(end, kMany).size(), 4'096U);
 }
 
-TEST(CrashLedger, WhatWasServedBeforeIsTriedOnceMore)
+TEST(CrashLedger, ARequestServedBeforeGetsOneTrialRun)
 {
-  // A popular lookup refused for an hour after all replicas crashed at once.
+  // Guards against a popular lookup that is refused for an hour because it was
+  // in flight at many replicas that crashed at once.
   CrashLedger ledger;
   ledger.onCrash(report(kRequest, "a", true), CrashSource::Own, kStart);
   ledger.onCrash(report(kRequest, "b", true), CrashSource::Own, kStart);
--- a/tests/unit/retry/CrashWatchTest.cpp
+++ b/tests/unit/retry/CrashWatchTest.cpp
@@ -12,39 +12,40 @@
 constexpr Fingerprint kRequest{ 1, 2 };
 const RecentlyServedRequests kNone;
 
-TEST(CrashWatch, ABrokenAnswerIsNoEndOfItsReplica)
+TEST(CrashWatch, ABrokenConnectionAloneIsNoCrash)
 {
   CrashWatch watch{ seconds{ 4 } };
   watch.onBroken(CrashReport{ kRequest, "a", true }, kStart);
   EXPECT_EQ(watch.replicas(), std::set<std::string>{ "a" });
-  EXPECT_TRUE(watch.onEnded("b", kNone, kStart).empty());
+  EXPECT_TRUE(watch.onCrashed("b", kNone, kStart).empty());
   watch.expire(kStart + milliseconds{ 4'001 });
   EXPECT_TRUE(watch.replicas().empty());
-  EXPECT_TRUE(watch.onEnded("a", kNone, kStart).empty());
+  EXPECT_TRUE(watch.onCrashed("a", kNone, kStart).empty());
 }
 
-TEST(CrashWatch, AnEndTellsOfEachRequestThereOnce)
+TEST(CrashWatch, ACrashReportsEachRequestOnce)
 {
   CrashWatch watch{ seconds{ 4 } };
   watch.onBroken(CrashReport{ kRequest, "a", false }, kStart);
   watch.onBroken(CrashReport{ kRequest, "a", true }, kStart);
   watch.onBroken(CrashReport{ Fingerprint{ 5, 6 }, "a", false }, kStart);
-  const auto reports = watch.onEnded("a", kNone, kStart);
+  const auto reports = watch.onCrashed("a", kNone, kStart);
   ASSERT_EQ(reports.size(), 2U);
   EXPECT_EQ(reports[0], (CrashReport{ kRequest, "a", true }));
-  EXPECT_TRUE(watch.onEnded("a", kNone, kStart).empty());
+  EXPECT_TRUE(watch.onCrashed("a", kNone, kStart).empty());
 }
 
-TEST(CrashWatch, WhatWasServedElsewhereSinceIsNotToBlame)
+TEST(CrashWatch, ARequestServedElsewhereSinceIsNotReported)
 {
-  // A lookup blamed for an end that was certain only seconds later.
+  // Guards against a lookup that counts as the cause of a crash although
+  // another replica served it before the crash was confirmed seconds later.
   CrashWatch watch{ seconds{ 4 } };
   watch.onBroken(CrashReport{ kRequest, "a", true }, kStart);
   watch.onBroken(CrashReport{ Fingerprint{ 5, 6 }, "a", true }, kStart);
   RecentlyServedRequests served;
   served.onServed(Fingerprint{ 5, 6 }, kStart - seconds{ 1 });
   served.onServed(kRequest, kStart + milliseconds{ 20 });
-  const auto reports = watch.onEnded("a", served, kStart + seconds{ 2 });
+  const auto reports = watch.onCrashed("a", served, kStart + seconds{ 2 });
   ASSERT_EQ(reports.size(), 1U);
   EXPECT_EQ(reports[0].request, (Fingerprint{ 5, 6 }));
 }
--- a/tests/unit/retry/FingerprintTest.cpp
+++ b/tests/unit/retry/FingerprintTest.cpp
@@ -11,7 +11,7 @@
   return { "shop", "shop.example", "POST", "/again/x", "body" };
 }
 
-TEST(Fingerprint, IsTheSameForTheSameContentAlone)
+TEST(Fingerprint, IsEqualOnlyForEqualContent)
 {
   const Fingerprint one = fingerprintOf(content());
   EXPECT_EQ(one, fingerprintOf(content()));
@@ -26,7 +26,7 @@
   EXPECT_NE(one, fingerprintOf(other));
 }
 
-TEST(Fingerprint, DoesNotMixUpWhereOnePartEnds)
+TEST(Fingerprint, DependsOnWhereEachPartEnds)
 {
   RequestContent left = content();
   left.target = "/ab";
@@ -37,7 +37,7 @@
   EXPECT_NE(fingerprintOf(left), fingerprintOf(right));
 }
 
-TEST(Fingerprint, ReadsItsOwnText)
+TEST(Fingerprint, ParsesItsOwnText)
 {
   const Fingerprint one = fingerprintOf(content());
   EXPECT_EQ(fingerprintFromText(toText(one)), one);
--- a/tests/unit/retry/RecentlyServedRequestsTest.cpp
+++ b/tests/unit/retry/RecentlyServedRequestsTest.cpp
@@ -35,7 +35,7 @@
     known += served.lastServed(Fingerprint{ 10, i }, kStart) ? 1 : 0;
   }
   EXPECT_LE(known, 4'096U);
-  // What is noted stays up to date.
+  // A request that is remembered is still updated when the limit is reached.
   served.onServed(kContent, kStart + seconds{ 10 });
   EXPECT_EQ(served.lastServed(kContent, kStart + seconds{ 10 }),
             kStart + seconds{ 10 });
--- a/tests/unit/retry/RetryBudgetTest.cpp
+++ b/tests/unit/retry/RetryBudgetTest.cpp
@@ -9,9 +9,7 @@
 namespace poplartrack {
 namespace {
 
-RC_GTEST_PROP(RetryBudget,
-              retriesStayWithinTheRatioWhateverFails,
-              (std::uint64_t aSeed))
+RC_GTEST_PROP(RetryBudget, retriesNeverExceedTheBound, (std::uint64_t aSeed))
 {
   std::mt19937_64 random(aSeed);
   RetryBudgetPolicy policy;
@@ -37,7 +35,7 @@
   }
 }
 
-TEST(RetryBudget, aQuietEntryMayStillRetry)
+TEST(RetryBudget, anEntryWithFewRequestsMayStillRetry)
 {
   RetryBudgetPolicy policy;
   policy.reserve = 0;
@@ -47,11 +45,11 @@
   EXPECT_TRUE(budget.tryRetry(TimePoint{ std::chrono::hours{ 2 } }));
 }
 
-TEST(RetryBudget, oneLostStageIsPaidForOnceByAQuietEntry)
+TEST(RetryBudget, theReserveCoversOneLostStageOnce)
 {
-  // A quiet entry has ten requests in flight through one stage when it dies.
-  // All ten callers get their answers; a stage that goes on failing does not
-  // get the same again at once.
+  // An entry with few requests has ten in flight through one stage when it
+  // crashes. All ten are retried. If the stage continues to fail, the same
+  // number of retries is not available again at once.
   RetryBudget budget(RetryBudgetPolicy{});
   const TimePoint now{ std::chrono::hours{ 1 } };
   for (int i = 0; i < 10; ++i) {
@@ -64,7 +62,7 @@
   EXPECT_LE(more, 6);
 }
 
-TEST(RetryBudget, aGoodHourDoesNotPayForABadMinute)
+TEST(RetryBudget, earnedRetriesDecayWithTheWindow)
 {
   RetryBudgetPolicy policy;
   policy.ratio = 0.15;
--- a/tests/unit/retry/RetryBudgetsTest.cpp
+++ b/tests/unit/retry/RetryBudgetsTest.cpp
@@ -16,11 +16,11 @@
   return policy;
 }
 
-TEST(RetryBudgets, CallsOfOneServiceDoNotPayForRetriesAtAnother)
+TEST(RetryBudgets, RequestsForOneServiceEarnNoRetriesAtAnother)
 {
-  // Replicas of the engines fail beside a thousand calls of a plain service.
-  // Counted together these allowed 170 retries at the engines, which had
-  // fifty requests.
+  // Guards against a budget that is shared by services: replicas of the engines
+  // fail while a plain service has a thousand calls. Counted together, they
+  // allowed 170 retries at the engines, which had fifty requests.
   RetryBudgets budgets{ policy() };
   for (int i = 0; i < 1'000; ++i) {
     budgets.of("plain").onRequest(kStart);
@@ -38,10 +38,11 @@
   EXPECT_TRUE(budgets.of("plain").tryRetry(RetryPriority::Started, later));
 }
 
-TEST(RetryBudgets, WhatALifeSpentCountsBesideItsSuccessor)
+TEST(RetryBudgets, RetriesOfAnIncarnationStillCountAfterARestart)
 {
-  // A relay spends the budget and is restarted. Its next process has counted
-  // nothing; under the same name it would have given the budget back.
+  // A relay uses up the budget and is restarted. The new process starts with
+  // zero counts; reported under the same name, they would free the budget
+  // again.
   SharedRetryPolicy slack = policy();
   slack.slack = 100;
   RetryBudgets budgets{ slack };
--- a/tests/unit/retry/SharedRetryBudgetTest.cpp
+++ b/tests/unit/retry/SharedRetryBudgetTest.cpp
@@ -35,10 +35,11 @@
   return count;
 }
 
-TEST(SharedRetryBudgetTest, ARelayWithTheStreamsHasTheirPartOfTheRetries)
+TEST(SharedRetryBudgetTest, ARelayWithMoreRequestsGetsMoreRetries)
 {
-  // Two replicas die. Most streams that ran through them are one relay's; the
-  // other 22 have few. It must not cut what the budget of all could pay for.
+  // Two replicas crash. Most streams that ran through them belong to one relay;
+  // the other 22 have few. It must not cut streams while the common budget
+  // still allows retries.
   SharedRetryBudget budget{ policy() };
   budget.setRelays(23);
   for (int i = 0; i < 400; ++i) {
@@ -48,22 +49,22 @@
   for (int peer = 0; peer < 22; ++peer) {
     budget.onPeer(std::to_string(peer), RetryCounts{ 20, 0 }, loss);
   }
-  // An even deal of the slack was ten.
+  // An even division of the slack gives each relay ten.
   EXPECT_GE(retriesNow(budget, loss), 120);
 }
 
 // Guards against streams that are cut because a release and full replicas have
-// taken every retry.
-TEST(SharedRetryBudgetTest, StartedStreamsHaveAPartOfTheirOwn)
+// used up the budget.
+TEST(SharedRetryBudgetTest, PartOfTheBudgetIsReservedForStartedStreams)
 {
   SharedRetryBudget budget{ policy() };
   budget.setRelays(1);
   for (int i = 0; i < 400; ++i) {
     budget.onRequest(kStart);
   }
-  const auto spend = [&](RetryPriority aNeed) {
+  const auto spend = [&](RetryPriority aPriority) {
     int count = 0;
-    while (budget.tryRetry(aNeed, kStart + std::chrono::seconds{ 2 })) {
+    while (budget.tryRetry(aPriority, kStart + std::chrono::seconds{ 2 })) {
       ++count;
     }
     return count;
@@ -77,19 +78,19 @@
   EXPECT_LE(planned + fresh + started, 0.2 * 400 + 230);
 }
 
-TEST(SharedRetryBudgetTest, WhatOthersHaveSpentIsGone)
+TEST(SharedRetryBudgetTest, RetriesOfOtherRelaysUseUpTheBudget)
 {
   SharedRetryBudget budget{ policy() };
   budget.setRelays(2);
   budget.onRequest(kStart);
   budget.onPeer("other", RetryCounts{ 10, 300 }, kStart);
   EXPECT_FALSE(budget.mayRetry(RetryPriority::Started, kStart));
-  // ... until the window has passed.
+  // Allowed again after the window has passed.
   EXPECT_TRUE(budget.mayRetry(RetryPriority::Started,
                               kStart + std::chrono::seconds{ 11 }));
 }
 
-TEST(SharedRetryBudgetTest, ARelayThatHearsNobodyUsesItsOwnSlackOnly)
+TEST(SharedRetryBudgetTest, AnIsolatedRelayUsesOnlyItsOwnSlack)
 {
   SharedRetryBudget budget{ policy() };
   budget.setRelays(23);
@@ -100,8 +101,9 @@
               allRelaysTogetherKeepTheBound,
               (std::uint64_t aSeed))
 {
-  // Relays of unequal load retry as much as they may, in bursts that hit all
-  // at the same moment; words between them come every 200 ms and some are lost.
+  // Relays with unequal load retry as much as they may, in bursts that hit all
+  // of them at the same moment. Their status messages are sent every 200 ms,
+  // and some are lost.
   std::mt19937_64 random(aSeed);
   const std::size_t relays = 2 + random() % 8;
   std::vector<SharedRetryBudget> budgets(relays, SharedRetryBudget{ policy() });
