--- a/include/poplartrack/admit/AdmissionControl.h
+++ b/include/poplartrack/admit/AdmissionControl.h
@@ -20,78 +20,83 @@
 
 namespace poplartrack {
 
-/** One request that asks to be let in. */
+/** One request for which admission is asked. */
 struct AdmitQuery
 {
   std::string account;
-  /** The model; empty for a plain call, which only the account limits. */
+  /** The model; empty for a plain call, to which only the account's limits and
+   * the deadline apply. */
   std::string model;
   Priority priority = Priority::Normal;
   std::uint32_t promptTokens = 0;
   std::uint32_t tokensWanted = 0;
   TimePoint deadline{};
-  /** From the chosen route; 0 when unknown. */
+  /** Expected times of the chosen route; 0 if unknown. */
   Duration expectedFirstToken{ 0 };
   Duration expectedPerToken{ 0 };
-  /** Part of expectedPerToken spent in queues. */
+  /** The part of expectedPerToken that is spent in queues. */
   Duration expectedWait{ 0 };
 };
 
-/** Let in; the ticket goes back with finish(). */
+/** The request is admitted. The ticket is returned with finish(). */
 struct Admitted
 {
   std::uint64_t ticket = 0;
 };
 
-/** Kept out; nothing ran. */
+/** The request is rejected; nothing ran. */
 struct Refused
 {
   Error error;
-  /** When a repeat may help; spread at random, longer under overload. */
+  /** Time after which the caller may try again; random, and longer under
+   * overload. */
   Duration retryAfter{ 0 };
 };
 
 /**
- * Decides at once whether a request is let in: account limits, deadline,
- * priority, fair share, limit in flight. There is no queue: what cannot run is
- * answered now. One instance serves an entry. Not thread-safe: callers hold
- * one lock over it.
+ * Decides whether a request is admitted, by account limits, deadline, priority,
+ * fair share and the limit on requests in flight. There is no wait queue: a
+ * request that cannot run now is rejected at once. Each entry has one object of
+ * this class. Not thread-safe: callers hold a lock.
  */
 class AdmissionControl
 {
 public:
-  /** BadSettings when the policy is out of range. */
+  /** Returns BadSettings if the policy is out of range. */
   static Result<AdmissionControl> create(const AdmissionPolicy& aPolicy,
                                          std::uint64_t aSeed);
 
-  /** Takes over accounts and floors; buckets of known accounts stay. */
+  /** Takes over the configured accounts and priority floors. Known accounts
+   * keep the levels of their token buckets. */
   void configure(const Configuration& aConfiguration, TimePoint aNow);
 
-  /** Errors: Unauthorized (no such account), AccountOverLimit,
-   * DeadlineTooClose, Overloaded; all of them "not run". */
+  /** Admits or rejects a request. Errors: Unauthorized (no such account),
+   * AccountOverLimit, DeadlineTooClose, Overloaded; after any of them the
+   * request has not run. */
   std::variant<Admitted, Refused> admit(const AdmitQuery& aQuery,
                                         TimePoint aNow);
 
-  /** The request ended. Tokens not used are given back to the account; all
-   * of them when the answer is not whole: nobody pays for a part. */
+  /** Ends an admitted request. Unused tokens are refunded to the account. If
+   * the answer is incomplete, all tokens are refunded: partial answers are not
+   * charged. */
   void finish(std::uint64_t aTicket,
               std::uint32_t aUsedTokens,
               bool aWhole,
               TimePoint aNow);
 
-  /** How long a step of the model waited in a queue, beside what the queries
-   * told as expectedWait. */
+  /** Records how long a step of the model waited in a queue, in addition to the
+   * waits that queries report as expectedWait. */
   void onQueueDelay(const std::string& aModel, Duration aDelay, TimePoint aNow);
 
-  /** Accounts' shares of this entry; see AccountShares. */
+  /** Returns this entry's shares of the account limits. */
   [[nodiscard]] AccountShares& shares() { return this->accountShares; }
-  /** Requests of the model in flight at this entry. */
+  /** Returns the model's requests in flight at this entry. */
   [[nodiscard]] std::uint32_t inFlight(const std::string& aModel) const;
-  /** The model's present limit in flight at this entry. */
+  /** Returns the model's current limit on requests in flight at this entry. */
   [[nodiscard]] double limit(const std::string& aModel) const;
 
 private:
-  /** One account's limits at this entry. */
+  /** An account and its limits at this entry. */
   struct Account
   {
     AccountSpec spec;
@@ -99,33 +104,43 @@
     TokenBucket requests;
     TokenBucket tokens;
   };
-  /** What finish() must undo. */
+  /** What finish() needs to undo an admission. */
   struct Ticket
   {
     std::string account;
     std::string model;
     Priority priority = Priority::Normal;
+    /** Tokens taken from the account's bucket. */
     std::uint32_t charged = 0;
   };
 
   AdmissionControl(const AdmissionPolicy& aPolicy, std::uint64_t aSeed);
+  /** Records the demand and returns a rejection if the account is over a limit.
+   */
   std::optional<Refused> checkAccount(Account& aAccount,
                                       const AdmitQuery& aQuery,
                                       TimePoint aNow);
+  /** Returns the model's gate and creates it on first use. */
   ModelGate& gateOf(const std::string& aModel);
+  /** Returns a rejection if the request is not expected to complete before its
+   * deadline. */
   std::optional<Refused> checkDeadline(const AdmitQuery& aQuery,
                                        TimePoint aNow);
+  /** Sets the account's buckets to this entry's share of its limits. */
   void applyShare(Account& aAccount, TimePoint aNow);
+  /** Builds a rejection with a retry time of at least aMinRetryAfter. */
   Refused refuse(ErrorKind aKind,
                  std::string aDetail,
-                 Duration aLeast,
+                 Duration aMinRetryAfter,
                  TimePoint aNow);
 
   AdmissionPolicy policy;
   AccountShares accountShares;
   RetryAfter retryAfter;
   std::unordered_map<std::string, Account> accounts;
+  /** By model. */
   std::map<std::string, ModelGate> gates;
+  /** By priority: fraction of each model's limit that is reserved for it. */
   std::array<double, kPriorityCount> floors{};
   std::unordered_map<std::uint64_t, Ticket> tickets;
   std::uint64_t nextTicket = 1;
--- a/include/poplartrack/admit/AdmissionPolicy.h
+++ b/include/poplartrack/admit/AdmissionPolicy.h
@@ -4,33 +4,38 @@
 
 namespace poplartrack {
 
-/** What admission may be tuned by; the defaults are measured ones. */
+/** Parameters of admission control. */
 struct AdmissionPolicy
 {
-  /** Requests in flight per model at this entry: first guess and range. */
+  /** Limit on requests in flight per model at this entry before any queue wait
+   * has been observed. */
   double initialLimit = 64;
+  /** Range of that limit. */
   double lowestLimit = 4;
   double highestLimit = 4096;
-  /** Wait that is still no overload. */
+  /** Longest queue wait of a step that does not count as overload. */
   Duration targetDelay = std::chrono::milliseconds{ 100 };
-  /** The same for the wait expected of each token, over its run time: a full
-   * batch running and half a one waiting keeps an engine busy. */
+  /** The same for the expected queue wait of each token, relative to its run
+   * time. A full batch running and half a batch waiting keep an engine busy. */
   double targetWait = 1.0;
-  /** The mean wait of one interval decides. CoDel takes the least; here each
-   * decision sees the wait of the best route, and the least of hundreds of
-   * those is near 0 under any load. */
+  /** The limit is adjusted once per interval, by the mean wait. CoDel uses the
+   * minimum. Here each sample is the wait of the best route, and the minimum of
+   * hundreds of them is near 0 under any load. */
   Duration interval = std::chrono::milliseconds{ 500 };
-  /** Factor on the limit after an interval above target. */
+  /** Factor applied to the limit after an interval above the target. */
   double decrease = 0.9;
-  /** Below this part of the limit nobody is held to a fair share. */
+  /** Fair shares are enforced once this fraction of the limit is in use. */
   double fairShareFrom = 0.75;
-  /** An account or priority counts as active this long after a request. */
+  /** An account or priority counts as active for this long after a request. */
   Duration activeFor = std::chrono::seconds{ 5 };
-  /** Expected completion times this must fit before the deadline. */
+  /** The time to the deadline must be at least this multiple of the expected
+   * completion time. */
   double deadlineMargin = 1.0;
+  /** Bounds of the retry time that rejected callers receive. */
   Duration shortestRetryAfter = std::chrono::seconds{ 1 };
   Duration longestRetryAfter = std::chrono::seconds{ 60 };
-  /** Part of an account's limit split evenly over entries without a grant. */
+  /** Fraction of an account's limit that is split evenly between the entries
+   * and needs no grant. */
   double reservedShare = 0.2;
 };
 
--- a/include/poplartrack/admit/RetryAfter.h
+++ b/include/poplartrack/admit/RetryAfter.h
@@ -8,20 +8,24 @@
 namespace poplartrack {
 
 /**
- * Says when refused callers come back. The window grows with the callers sent
- * away over the callers let in, and each draws its own moment in it: a fixed
- * answer would bring them all back in one wave. Not thread-safe.
+ * Chooses after what time rejected callers should try again. Each gets a random
+ * time in a window that grows with the ratio of rejected to admitted requests.
+ * A fixed time would bring all of them back at once (thundering herd). Not
+ * thread-safe.
  */
 class RetryAfter
 {
 public:
   RetryAfter(const AdmissionPolicy& aPolicy, std::uint64_t aSeed);
 
+  /** Counts an admitted request. */
   void onAdmitted(TimePoint aNow);
-  /** Counts a refusal and draws when it may come back, at least aLeast. */
-  Duration onRefused(Duration aLeast, TimePoint aNow);
+  /** Counts a rejected request and returns its random retry time, at least
+   * aMinimum. */
+  Duration onRefused(Duration aMinimum, TimePoint aNow);
 
 private:
+  /** Decays the counts up to aNow. */
   void decay(TimePoint aNow);
 
   Duration shortest;
--- a/src/admit/AccountShares.cpp
+++ b/src/admit/AccountShares.cpp
@@ -9,21 +9,27 @@
 namespace poplartrack {
 namespace {
 
+/** ShareDemand::demand that equals the whole limit. */
 constexpr double kDemandUnit = 1000;
+/** ShareGrant::share that equals the whole limit. */
 constexpr double kShareUnit = 65535;
-/** Demand below this part of the limit is not worth a message. */
-constexpr double kLeastDemand = 0.5 / kDemandUnit;
-/** Time constant of the smoothed demand. */
-constexpr double kSmoothMicros = 1e6;
+/** Demand below this fraction of the limit is not reported. */
+constexpr double kMinDemand = 0.5 / kDemandUnit;
+/** Time constant of the smoothed demand, microseconds. */
+constexpr double kSmoothingMicros = 1e6;
 
+/** Returns the factor by which demand decays in a time. */
 double
-fade(Duration aPassed)
+decay(Duration aPassed)
 {
   const auto passed =
     static_cast<double>(std::max<std::int64_t>(0, aPassed.count()));
-  return std::exp(-passed / kSmoothMicros);
+  return std::exp(-passed / kSmoothingMicros);
 }
 
+/** Returns the rendezvous hash; the entry with the highest one owns the
+ * account.
+ */
 std::uint64_t
 entryScore(const std::string& aEntry, std::uint64_t aAccount)
 {
@@ -57,10 +63,11 @@
   if (aEntries == this->entries) {
     return;
   }
-  std::erase_if(this->formerLists,
-                [aNow](const FormerList& aList) { return aNow >= aList.ends; });
-  this->formerLists.push_back(
-    FormerList{ std::move(this->entries), aNow + this->policy.ownerHolds });
+  std::erase_if(this->previousLists, [aNow](const PreviousList& aList) {
+    return aNow >= aList.endsAt;
+  });
+  this->previousLists.push_back(PreviousList{
+    std::move(this->entries), aNow + this->policy.ownerGrantDuration });
   this->entries = std::move(aEntries);
   std::erase_if(this->owned, [this](const auto& aEntry) {
     return this->ownerOf(aEntry.first) != this->self;
@@ -69,8 +76,9 @@
 
 namespace {
 
+/** Returns the owner of the account if aEntries are the live entries. */
 const std::string&
-ownerAmong(const std::vector<std::string>& aEntries, std::uint64_t aAccount)
+ownerIn(const std::vector<std::string>& aEntries, std::uint64_t aAccount)
 {
   const std::string* best = &aEntries.front();
   std::uint64_t bestScore = 0;
@@ -89,31 +97,29 @@
 const std::string&
 AccountShares::ownerOf(std::uint64_t aAccount) const
 {
-  return ownerAmong(this->entries, aAccount);
+  return ownerIn(this->entries, aAccount);
 }
 
-/**
- * An entry that takes over an account knows nothing of what the owner before
- * granted: were it to grant at once, the limit would be given out twice. Once
- * ownerHolds has passed, every old grant has ended. Accounts that stay with
- * their owner are granted without a pause.
- */
+// An entry that takes over an account does not know the grants of the previous
+// owner. If it granted at once, the limit would be granted twice. Once
+// ownerGrantDuration has passed, all of those grants have ended. Accounts that
+// stay with their owner are granted without interruption.
 bool
-AccountShares::ownedThroughout(std::uint64_t aAccount, TimePoint aNow) const
+AccountShares::mayGrant(std::uint64_t aAccount, TimePoint aNow) const
 {
   if (this->ownerOf(aAccount) != this->self) {
     return false;
   }
-  return std::all_of(this->formerLists.begin(),
-                     this->formerLists.end(),
-                     [this, aAccount, aNow](const FormerList& aList) {
-                       return aNow >= aList.ends ||
-                              ownerAmong(aList.entries, aAccount) == this->self;
+  return std::all_of(this->previousLists.begin(),
+                     this->previousLists.end(),
+                     [this, aAccount, aNow](const PreviousList& aList) {
+                       return aNow >= aList.endsAt ||
+                              ownerIn(aList.entries, aAccount) == this->self;
                      });
 }
 
 double
-AccountShares::reservedEach() const
+AccountShares::reservedPerEntry() const
 {
   return this->policy.reserved / static_cast<double>(this->entries.size());
 }
@@ -124,9 +130,9 @@
                         TimePoint aNow)
 {
   constexpr double kMicrosPerSecond = 1e6;
-  Local& local = this->locals[aAccount];
-  local.demand *= fade(aNow - local.lastDemand);
-  local.demand += aSecondsOfLimit * kMicrosPerSecond / kSmoothMicros;
+  LocalAccount& local = this->localAccounts[aAccount];
+  local.demand *= decay(aNow - local.lastDemand);
+  local.demand += aSecondsOfLimit * kMicrosPerSecond / kSmoothingMicros;
   local.lastDemand = aNow;
 }
 
@@ -136,25 +142,25 @@
   if (this->entries.size() == 1) {
     return 1;
   }
-  const auto found = this->locals.find(aAccount);
-  if (found == this->locals.end() || aNow >= found->second.shareEnds) {
-    return this->reservedEach();
+  const auto found = this->localAccounts.find(aAccount);
+  if (found == this->localAccounts.end() || aNow >= found->second.shareEnds) {
+    return this->reservedPerEntry();
   }
-  return this->reservedEach() + found->second.share;
+  return this->reservedPerEntry() + found->second.share;
 }
 
 std::vector<DemandList>
 AccountShares::demands(TimePoint aNow)
 {
-  std::erase_if(this->locals, [this, aNow](const auto& aEntry) {
-    const Local& local = aEntry.second;
-    return aNow - local.lastDemand > this->policy.demandFor &&
+  std::erase_if(this->localAccounts, [this, aNow](const auto& aEntry) {
+    const LocalAccount& local = aEntry.second;
+    return aNow - local.lastDemand > this->policy.demandTimeout &&
            aNow >= local.shareEnds;
   });
   std::map<std::string, std::vector<ShareDemand>> byOwner;
-  for (const auto& [account, local] : this->locals) {
-    const double demand = local.demand * fade(aNow - local.lastDemand);
-    if (demand < kLeastDemand) {
+  for (const auto& [account, local] : this->localAccounts) {
+    const double demand = local.demand * decay(aNow - local.lastDemand);
+    if (demand < kMinDemand) {
       continue;
     }
     const double units = std::min(kShareUnit, std::ceil(demand * kDemandUnit));
@@ -162,12 +168,12 @@
       ShareDemand{ account, static_cast<std::uint16_t>(units) });
   }
   std::vector<DemandList> lists;
-  for (auto& [owner, wanted] : byOwner) {
+  for (auto& [owner, accountDemands] : byOwner) {
     if (owner == this->self) {
-      this->onGrants(this->grant(this->self, wanted, aNow), aNow);
+      this->onGrants(this->grant(this->self, accountDemands, aNow), aNow);
       continue;
     }
-    lists.push_back(DemandList{ owner, std::move(wanted) });
+    lists.push_back(DemandList{ owner, std::move(accountDemands) });
   }
   return lists;
 }
@@ -178,12 +184,12 @@
                      TimePoint aNow)
 {
   std::vector<ShareGrant> grants;
-  this->dropEnded(aNow);
+  this->dropEndedGrants(aNow);
   for (const ShareDemand& demand : aDemands) {
-    if (!this->ownedThroughout(demand.account, aNow)) {
+    if (!this->mayGrant(demand.account, aNow)) {
       continue;
     }
-    const double share = this->grantOne(
+    const double share = this->grantShare(
       this->owned[demand.account], aEntry, demand.demand / kDemandUnit, aNow);
     grants.push_back(ShareGrant{
       demand.account, static_cast<std::uint16_t>(share * kShareUnit) });
@@ -192,10 +198,10 @@
 }
 
 void
-AccountShares::dropEnded(TimePoint aNow)
+AccountShares::dropEndedGrants(TimePoint aNow)
 {
   const auto ended = [aNow](const LiveGrant& aGrant) {
-    return aNow >= aGrant.ends;
+    return aNow >= aGrant.endsAt;
   };
   for (auto& [account, holders] : this->owned) {
     for (Holder& holder : holders) {
@@ -209,34 +215,35 @@
 }
 
 double
-AccountShares::grantOne(std::vector<Holder>& aHolders,
-                        const std::string& aEntry,
-                        double aDemand,
-                        TimePoint aNow) const
+AccountShares::grantShare(std::vector<Holder>& aHolders,
+                          const std::string& aEntry,
+                          double aDemand,
+                          TimePoint aNow) const
 {
   const double pool = 1 - this->policy.reserved;
   double othersDemand = 0;
   double othersShare = 0;
-  Holder* mine = nullptr;
+  Holder* requester = nullptr;
   for (Holder& holder : aHolders) {
     if (holder.entry == aEntry) {
-      mine = &holder;
+      requester = &holder;
       continue;
     }
     othersDemand += holder.demand;
     othersShare += holder.largestGrant();
   }
-  if (mine == nullptr) {
-    mine = &aHolders.emplace_back();
-    mine->entry = aEntry;
+  if (requester == nullptr) {
+    requester = &aHolders.emplace_back();
+    requester->entry = aEntry;
   }
-  // The part that follows demand, but never more than the others leave. A
-  // smaller grant may reach its entry late or never: so each grant counts at
-  // its full size until its own end, and the sum cannot pass the pool.
+  // The share is proportional to demand, but never more than the other entries
+  // leave. A later, smaller grant may reach its entry late or never, so each
+  // grant counts in full until its own end, and the sum cannot exceed the pool.
   const double fair = pool * aDemand / std::max(aDemand + othersDemand, 1e-9);
   const double share = std::max(0.0, std::min(fair, pool - othersShare));
-  mine->demand = aDemand;
-  mine->grants.push_back(LiveGrant{ share, aNow + this->policy.ownerHolds });
+  requester->demand = aDemand;
+  requester->grants.push_back(
+    LiveGrant{ share, aNow + this->policy.ownerGrantDuration });
   return share;
 }
 
@@ -252,24 +259,25 @@
 
 void
 AccountShares::onGrants(const std::vector<ShareGrant>& aGrants,
-                        TimePoint aAsked)
+                        TimePoint aRequestedAt)
 {
   for (const ShareGrant& grant : aGrants) {
-    Local& local = this->locals[grant.account];
-    // Answers may cross: an older one must not bring back a larger share.
-    if (aAsked < local.askedAt) {
+    LocalAccount& local = this->localAccounts[grant.account];
+    // Answers may arrive out of order: an older one must not restore a larger
+    // share.
+    if (aRequestedAt < local.grantRequestedAt) {
       continue;
     }
-    local.askedAt = aAsked;
+    local.grantRequestedAt = aRequestedAt;
     local.share = grant.share / kShareUnit;
-    local.shareEnds = aAsked + this->policy.grantFor;
+    local.shareEnds = aRequestedAt + this->policy.grantDuration;
   }
 }
 
 std::size_t
 AccountShares::accountsKnown() const
 {
-  return this->locals.size() + this->owned.size();
+  return this->localAccounts.size() + this->owned.size();
 }
 
 } // namespace poplartrack
--- a/src/admit/AdmissionControl.cpp
+++ b/src/admit/AdmissionControl.cpp
@@ -6,6 +6,7 @@
 namespace poplartrack {
 namespace {
 
+/** Returns what is wrong with the policy; empty if nothing is. */
 std::string
 checkPolicy(const AdmissionPolicy& aPolicy)
 {
@@ -32,20 +33,23 @@
   return policy;
 }
 
+/** Returns the tokens that a request is charged on admission. */
 std::uint32_t
-costOf(const AdmitQuery& aQuery)
+tokenCost(const AdmitQuery& aQuery)
 {
   return aQuery.promptTokens + aQuery.tokensWanted;
 }
 
+/** Returns the expected time to the last token. */
 Duration
 expectedTime(const AdmitQuery& aQuery)
 {
-  const std::uint32_t more = std::max(aQuery.tokensWanted, 1U) - 1;
-  return aQuery.expectedFirstToken + more * aQuery.expectedPerToken;
+  const std::uint32_t laterTokens = std::max(aQuery.tokensWanted, 1U) - 1;
+  return aQuery.expectedFirstToken + laterTokens * aQuery.expectedPerToken;
 }
 
-/** The wait of each token over the wait that keeps engines busy. */
+/** Returns the queue wait per token, relative to the target wait that keeps
+ * engines busy. Above 1 means overload. */
 double
 pressureOf(const AdmitQuery& aQuery, const AdmissionPolicy& aPolicy)
 {
@@ -60,9 +64,9 @@
 Result<AdmissionControl>
 AdmissionControl::create(const AdmissionPolicy& aPolicy, std::uint64_t aSeed)
 {
-  std::string wrong = checkPolicy(aPolicy);
-  if (!wrong.empty()) {
-    return fail(ErrorKind::BadSettings, std::move(wrong));
+  std::string problem = checkPolicy(aPolicy);
+  if (!problem.empty()) {
+    return fail(ErrorKind::BadSettings, std::move(problem));
   }
   return AdmissionControl(aPolicy, aSeed);
 }
@@ -127,21 +131,21 @@
     if (aQuery.expectedPerToken > Duration{ 0 }) {
       gate.onPressure(pressureOf(aQuery, this->policy), aNow);
     }
-    const std::string_view against = gate.check(
+    const std::string_view rejection = gate.check(
       aQuery.account, account.spec.weight, aQuery.priority, this->floors, aNow);
-    if (!against.empty()) {
+    if (!rejection.empty()) {
       return this->refuse(
-        ErrorKind::Overloaded, std::string(against), Duration{ 0 }, aNow);
+        ErrorKind::Overloaded, std::string(rejection), Duration{ 0 }, aNow);
     }
     gate.enter(aQuery.account, aQuery.priority);
   }
   account.requests.take(1);
-  account.tokens.take(costOf(aQuery));
+  account.tokens.take(tokenCost(aQuery));
   this->retryAfter.onAdmitted(aNow);
   const std::uint64_t ticket = this->nextTicket++;
   this->tickets.emplace(
     ticket,
-    Ticket{ aQuery.account, aQuery.model, aQuery.priority, costOf(aQuery) });
+    Ticket{ aQuery.account, aQuery.model, aQuery.priority, tokenCost(aQuery) });
   return Admitted{ ticket };
 }
 
@@ -151,14 +155,14 @@
                                TimePoint aNow)
 {
   const AccountSpec& spec = aAccount.spec;
-  constexpr double kLeastRate = 1e-9;
+  constexpr double kMinRate = 1e-9;
   const double seconds =
-    std::max(1 / std::max(spec.requestsPerSecond, kLeastRate),
-             costOf(aQuery) / std::max(spec.tokensPerSecond, kLeastRate));
+    std::max(1 / std::max(spec.requestsPerSecond, kMinRate),
+             tokenCost(aQuery) / std::max(spec.tokensPerSecond, kMinRate));
   this->accountShares.onDemand(aAccount.hash, seconds, aNow);
   this->applyShare(aAccount, aNow);
-  const Duration wait =
-    std::max(aAccount.requests.wait(aNow), aAccount.tokens.wait(aNow));
+  const Duration wait = std::max(aAccount.requests.timeUntilReady(aNow),
+                                 aAccount.tokens.timeUntilReady(aNow));
   if (wait == Duration{ 0 }) {
     return std::nullopt;
   }
@@ -186,10 +190,10 @@
 Refused
 AdmissionControl::refuse(ErrorKind aKind,
                          std::string aDetail,
-                         Duration aLeast,
+                         Duration aMinRetryAfter,
                          TimePoint aNow)
 {
-  const Duration after = this->retryAfter.onRefused(aLeast, aNow);
+  const Duration after = this->retryAfter.onRefused(aMinRetryAfter, aNow);
   return Refused{ fail(aKind, std::move(aDetail)), after };
 }
 
@@ -213,7 +217,7 @@
   const std::uint32_t used = aWhole ? aUsedTokens : 0;
   if (account != this->accounts.end() && used < ticket.charged) {
     account->second.tokens.ready(aNow);
-    account->second.tokens.giveBack(ticket.charged - used);
+    account->second.tokens.refund(ticket.charged - used);
   }
 }
 
--- a/src/admit/ConcurrencyLimit.cpp
+++ b/src/admit/ConcurrencyLimit.cpp
@@ -6,9 +6,9 @@
 namespace poplartrack {
 namespace {
 
-/** The limit grows only while at least this part of it is in use: an idle
- * hour must not raise it to a height that was never tried. */
-constexpr double kInUse = 0.8;
+/** The limit grows only if at least this fraction of it is in use. Otherwise it
+ * would grow without load to a value that was never tested. */
+constexpr double kMinUtilization = 0.8;
 
 } // namespace
 
@@ -23,8 +23,8 @@
                              std::uint32_t aInFlight,
                              TimePoint aNow)
 {
-  this->sum += aPressure;
-  this->count += 1;
+  this->pressureSum += aPressure;
+  this->sampleCount += 1;
   if (this->intervalEnds == TimePoint{}) {
     this->intervalEnds = aNow + this->policy.interval;
     return;
@@ -32,22 +32,23 @@
   if (aNow < this->intervalEnds) {
     return;
   }
-  this->close(aInFlight);
-  this->sum = 0;
-  this->count = 0;
+  this->adjust(aInFlight);
+  this->pressureSum = 0;
+  this->sampleCount = 0;
   this->intervalEnds = aNow + this->policy.interval;
 }
 
 void
-ConcurrencyLimit::close(std::uint32_t aInFlight)
+ConcurrencyLimit::adjust(std::uint32_t aInFlight)
 {
-  if (this->sum > this->count) {
+  if (this->pressureSum > this->sampleCount) {
     this->current *= this->policy.decrease;
     this->probing = false;
-  } else if (aInFlight >= kInUse * this->current) {
-    // Until the first queue is met the limit is a mere guess, and callers would
-    // be refused for it. From then on the square root keeps the step small
-    // against a large limit and quick out of a small one.
+  } else if (aInFlight >= kMinUtilization * this->current) {
+    // Before the first standing queue the limit is a guess, and a low guess
+    // would reject requests without need, so it grows fast. After that, a step
+    // of the square root is small relative to a large limit and still leaves a
+    // small limit quickly.
     this->current +=
       this->probing ? this->current / 2 : std::sqrt(this->current);
   }
--- a/src/admit/ModelGate.cpp
+++ b/src/admit/ModelGate.cpp
@@ -5,10 +5,13 @@
 namespace poplartrack {
 namespace {
 
-/** Part of the limit that a priority may fill, so that more urgent work finds
- * a place without waiting. Its floor stands beside this. */
-constexpr std::array<double, kPriorityCount> kCeilings{ 1.0, 0.97, 0.9 };
-constexpr Duration kSweepEvery = std::chrono::seconds{ 1 };
+/** Fraction of the limit up to which each priority may fill it, so that more
+ * urgent requests are admitted without waiting. A priority below its floor is
+ * admitted regardless. */
+constexpr std::array<double, kPriorityCount> kPriorityCeilings{ 1.0,
+                                                                0.97,
+                                                                0.9 };
+constexpr Duration kSweepInterval = std::chrono::seconds{ 1 };
 
 std::size_t
 indexOf(Priority aPriority)
@@ -20,7 +23,7 @@
 
 ModelGate::ModelGate(const AdmissionPolicy& aPolicy)
   : policy(aPolicy)
-  , places(aPolicy)
+  , concurrency(aPolicy)
 {
 }
 
@@ -32,10 +35,10 @@
                  TimePoint aNow)
 {
   this->dropIdle(aNow);
-  this->note(aAccount, aWeight, aNow);
+  this->recordRequest(aAccount, aWeight, aNow);
   const std::size_t priority = indexOf(aPriority);
-  this->lastAsked[priority] = aNow;
-  const double limit = this->places.limit();
+  this->lastRequestAt[priority] = aNow;
+  const double limit = this->concurrency.limit();
   const double floor = aFloors[priority] * limit;
   const bool belowFloor = this->byPriority[priority] + 1 <= floor;
   if (this->total + 1 > limit) {
@@ -46,26 +49,28 @@
         limit) {
     return "the free places are kept for other priorities";
   }
-  if (!belowFloor && this->total + 1 > kCeilings[priority] * limit) {
+  if (!belowFloor && this->total + 1 > kPriorityCeilings[priority] * limit) {
     return "the free places are kept for more urgent work";
   }
-  const Use& use = this->uses.at(aAccount);
-  const double fair = limit * aWeight / this->activeWeight;
+  const Usage& usage = this->usages.at(aAccount);
+  const double fairShare = limit * aWeight / this->activeWeight;
   if (this->total + 1 > this->policy.fairShareFrom * limit &&
-      use.inFlight + 1 > std::max(1.0, fair)) {
+      usage.inFlight + 1 > std::max(1.0, fairShare)) {
     return "the account has its fair share";
   }
   return {};
 }
 
 void
-ModelGate::note(const std::string& aAccount, double aWeight, TimePoint aNow)
+ModelGate::recordRequest(const std::string& aAccount,
+                         double aWeight,
+                         TimePoint aNow)
 {
-  const auto [found, fresh] = this->uses.try_emplace(aAccount);
-  Use& use = found->second;
-  this->activeWeight += aWeight - (fresh ? 0 : use.weight);
-  use.weight = aWeight;
-  use.lastAsked = aNow;
+  const auto [found, isNew] = this->usages.try_emplace(aAccount);
+  Usage& usage = found->second;
+  this->activeWeight += aWeight - (isNew ? 0 : usage.weight);
+  usage.weight = aWeight;
+  usage.lastRequestAt = aNow;
 }
 
 void
@@ -74,15 +79,15 @@
   if (aNow < this->nextSweep) {
     return;
   }
-  this->nextSweep = aNow + kSweepEvery;
+  this->nextSweep = aNow + kSweepInterval;
   const TimePoint idleSince = aNow - this->policy.activeFor;
-  std::erase_if(this->uses, [idleSince](const auto& aEntry) {
-    const Use& use = aEntry.second;
-    return use.inFlight == 0 && use.lastAsked < idleSince;
+  std::erase_if(this->usages, [idleSince](const auto& aEntry) {
+    const Usage& usage = aEntry.second;
+    return usage.inFlight == 0 && usage.lastRequestAt < idleSince;
   });
   this->activeWeight = 0;
-  for (const auto& [account, use] : this->uses) {
-    this->activeWeight += use.weight;
+  for (const auto& [account, usage] : this->usages) {
+    this->activeWeight += usage.weight;
   }
 }
 
@@ -93,12 +98,12 @@
 {
   double reserved = 0;
   for (std::size_t i = 0; i < kPriorityCount; ++i) {
-    const bool active = this->lastAsked[i] != TimePoint{} &&
-                        aNow - this->lastAsked[i] <= this->policy.activeFor;
+    const bool active = this->lastRequestAt[i] != TimePoint{} &&
+                        aNow - this->lastRequestAt[i] <= this->policy.activeFor;
     if (i == indexOf(aPriority) || !active) {
       continue;
     }
-    const double floor = aFloors[i] * this->places.limit();
+    const double floor = aFloors[i] * this->concurrency.limit();
     reserved += std::max(0.0, floor - this->byPriority[i]);
   }
   return reserved;
@@ -109,7 +114,7 @@
 {
   ++this->total;
   ++this->byPriority[indexOf(aPriority)];
-  ++this->uses[aAccount].inFlight;
+  ++this->usages[aAccount].inFlight;
 }
 
 void
@@ -117,8 +122,8 @@
 {
   --this->total;
   --this->byPriority[indexOf(aPriority)];
-  const auto found = this->uses.find(aAccount);
-  if (found != this->uses.end() && found->second.inFlight > 0) {
+  const auto found = this->usages.find(aAccount);
+  if (found != this->usages.end() && found->second.inFlight > 0) {
     --found->second.inFlight;
   }
 }
@@ -126,7 +131,7 @@
 void
 ModelGate::onPressure(double aPressure, TimePoint aNow)
 {
-  this->places.onPressure(aPressure, this->total, aNow);
+  this->concurrency.onPressure(aPressure, this->total, aNow);
 }
 
 } // namespace poplartrack
--- a/src/admit/RetryAfter.cpp
+++ b/src/admit/RetryAfter.cpp
@@ -6,7 +6,7 @@
 namespace poplartrack {
 namespace {
 
-/** The counts of callers let in and sent away fade with this half-life. */
+/** Half-life of the counts of admitted and rejected requests, microseconds. */
 constexpr double kHalfLifeMicros = 5e6;
 
 } // namespace
@@ -22,10 +22,10 @@
 RetryAfter::decay(TimePoint aNow)
 {
   const Duration passed = std::max(Duration{ 0 }, aNow - this->last);
-  const double part =
+  const double factor =
     std::exp2(-static_cast<double>(passed.count()) / kHalfLifeMicros);
-  this->admitted *= part;
-  this->refused *= part;
+  this->admitted *= factor;
+  this->refused *= factor;
   this->last = std::max(this->last, aNow);
 }
 
@@ -37,7 +37,7 @@
 }
 
 Duration
-RetryAfter::onRefused(Duration aLeast, TimePoint aNow)
+RetryAfter::onRefused(Duration aMinimum, TimePoint aNow)
 {
   this->decay(aNow);
   this->refused += 1;
@@ -46,9 +46,9 @@
     std::min(static_cast<double>(this->longest.count()),
              static_cast<double>(this->shortest.count()) * (1 + overload));
   const Duration least =
-    std::min(std::max(aLeast, this->shortest), this->longest);
-  std::uniform_real_distribution<double> draw(0, window);
-  return least + Duration{ static_cast<std::int64_t>(draw(this->random)) };
+    std::min(std::max(aMinimum, this->shortest), this->longest);
+  std::uniform_real_distribution<double> spread(0, window);
+  return least + Duration{ static_cast<std::int64_t>(spread(this->random)) };
 }
 
 } // namespace poplartrack
--- a/src/admit/TokenBucket.cpp
+++ b/src/admit/TokenBucket.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-/** Wait told where nothing ever refills. */
-constexpr Duration kNever = std::chrono::hours{ 1 };
+/** Longest time returned, also when the rate is 0 and nothing refills. */
+constexpr Duration kMaxWait = std::chrono::hours{ 1 };
 
 } // namespace
 
@@ -43,23 +43,23 @@
 }
 
 void
-TokenBucket::giveBack(double aAmount)
+TokenBucket::refund(double aAmount)
 {
   this->level = std::min(this->depth, this->level + aAmount);
 }
 
 Duration
-TokenBucket::wait(TimePoint aNow)
+TokenBucket::timeUntilReady(TimePoint aNow)
 {
   if (this->ready(aNow)) {
     return Duration{ 0 };
   }
   if (this->unitsPerSecond <= 0) {
-    return kNever;
+    return kMaxWait;
   }
   const double micros =
     std::ceil(-this->level / this->unitsPerSecond * kMicrosPerSecond) + 1;
-  return std::min(kNever, Duration{ static_cast<std::int64_t>(micros) });
+  return std::min(kMaxWait, Duration{ static_cast<std::int64_t>(micros) });
 }
 
 } // namespace poplartrack
--- a/tests/unit/admit/AccountSharesTest.cpp
+++ b/tests/unit/admit/AccountSharesTest.cpp
@@ -14,7 +14,7 @@
 constexpr TimePoint kStart{ std::chrono::hours{ 1 } };
 constexpr Duration kTick = std::chrono::milliseconds{ 250 };
 constexpr std::uint64_t kAccount = 77;
-/** Rounding of shares on the wire. */
+/** Allowance for the rounding of shares in messages. */
 constexpr double kRounding = 1e-3;
 
 std::vector<std::string>
@@ -27,10 +27,11 @@
   return all;
 }
 
-/** Entries that exchange wishes over a network that delays and loses. */
+/** Entries that exchange demands and grants over a network that delays and
+ * drops messages. */
 struct Group
 {
-  /** An answer that is still on its way. */
+  /** An answer in transit. */
   struct InTransit
   {
     std::size_t to = 0;
@@ -92,7 +93,7 @@
 };
 
 RC_GTEST_PROP(AccountShares,
-              theSharesNeverSumAboveTheLimitWhateverTheDemandAndTheNetwork,
+              sharesNeverSumAboveTheLimitWhateverTheDemandAndTheNetwork,
               (std::uint64_t aSeed))
 {
   std::mt19937_64 random(aSeed);
@@ -117,11 +118,11 @@
   }
 }
 
-TEST(AccountShares, sharesFollowDemandWithinTheStatedTime)
+TEST(AccountShares, sharesFollowDemandWithinFiveSeconds)
 {
-  // What the caller sees: an account whose calls move to another entry keeps
-  // its limit but for a few seconds. The old entry's grant ends first, then
-  // the new one gets it; nothing is given out twice in between.
+  // An account whose requests move to another entry gets its full limit there
+  // within a few seconds. The grant of the old entry ends first, then the new
+  // entry gets it; no part of the limit is granted twice in between.
   Group group(8);
   TimePoint now = kStart + std::chrono::seconds{ 10 };
   const auto run = [&group, &now](std::size_t aBusy, int aSeconds) {
@@ -145,9 +146,9 @@
 
 TEST(AccountShares, aNewOwnerWaitsUntilTheOldGrantsHaveEnded)
 {
-  // What the operator sees: no account passes its limit when an entry is
-  // replaced. The new owner knows nothing of the old one's grants; it grants
-  // only after the longest of them must have ended.
+  // No account exceeds its limit when an entry is replaced. The new owner does
+  // not know the grants of the old one and grants only after the last of them
+  // must have ended.
   Group group(4);
   TimePoint now = kStart + std::chrono::seconds{ 10 };
   const std::string owner = group.entries[0].ownerOf(kAccount);
@@ -178,12 +179,12 @@
         total += group.entries[entry].shareOf(kAccount, now);
       }
     }
-    // The reserved part of three entries in place of four is the same sum.
+    // The reserved shares of three entries add up to the same as those of four.
     EXPECT_LE(total, 1 + kRounding);
   }
 }
 
-TEST(AccountShares, accountsThatKeepTheirOwnerAreGrantedThroughAChange)
+TEST(AccountShares, accountsThatKeepTheirOwnerAreGrantedWithoutInterruption)
 {
   Group group(8);
   TimePoint now = kStart + std::chrono::seconds{ 10 };
--- a/tests/unit/admit/AdmissionControlTest.cpp
+++ b/tests/unit/admit/AdmissionControlTest.cpp
@@ -75,7 +75,7 @@
   return std::get<Refused>(aControl.admit(aQuery, kStart)).error.kind;
 }
 
-TEST(AdmissionControl, anAccountKeepsToItsLimitAndIsToldWhenToComeBack)
+TEST(AdmissionControl, anAccountOverItsLimitIsRefusedWithARetryTime)
 {
   AdmissionControl control = admission();
   EXPECT_EQ(admitMany(control, query("tight"), 50), 10);
@@ -85,7 +85,7 @@
   EXPECT_GE(refused.retryAfter, std::chrono::seconds{ 1 });
 }
 
-TEST(AdmissionControl, whatCannotMeetItsDeadlineIsRefusedAtOnce)
+TEST(AdmissionControl, aRequestThatCannotMeetItsDeadlineIsRefused)
 {
   AdmissionControl control = admission();
   AdmitQuery late = query("small");
@@ -99,10 +99,9 @@
 
 TEST(AdmissionControl, aFloodLeavesOthersTheirWeightedShare)
 {
-  // What the caller sees: its few requests are answered although another
-  // account sends thousands. The flood fills places only while they are
-  // plenty; from then on it is held to its share, and the rest is free for
-  // accounts that are below theirs.
+  // Accounts with few requests are served although another account sends
+  // thousands. That account fills the limit only up to 75 %, from where on fair
+  // shares are enforced. The rest is left to accounts below their shares.
   AdmissionControl control = admission();
   admitMany(control, query("small"), 1);
   admitMany(control, query("large"), 1);
@@ -112,18 +111,18 @@
   EXPECT_EQ(refusalOf(control, query("flood")), ErrorKind::Overloaded);
 }
 
-TEST(AdmissionControl, lowPriorityIsNotPushedBelowItsFloor)
+TEST(AdmissionControl, lowPriorityKeepsItsFloor)
 {
-  // What the caller sees: nightly drafts still trickle through while urgent
-  // work could fill every place. Once low work has been seen, its floor of 20
-  // of the 100 places stays free for it.
+  // Requests of low priority are still served while urgent ones could use the
+  // whole limit. Once a low one has been seen, its floor of 20 of the 100
+  // requests in flight stays reserved.
   AdmissionControl control = admission();
   EXPECT_EQ(admitMany(control, query("small", Priority::Low), 1), 1);
   EXPECT_EQ(admitMany(control, query("small", Priority::High), 500), 80);
   EXPECT_EQ(admitMany(control, query("small", Priority::Low), 50), 19);
 }
 
-TEST(AdmissionControl, urgentWorkFindsAPlaceWhereLowWorkDoesNot)
+TEST(AdmissionControl, urgentRequestsAreAdmittedWhereLowOnesAreNot)
 {
   AdmissionControl control = admission();
   EXPECT_EQ(admitMany(control, query("small", Priority::Low), 500), 90);
@@ -131,7 +130,8 @@
   EXPECT_EQ(admitMany(control, query("small", Priority::High), 500), 3);
 }
 
-/** Tells the waits in turn for 5 s, one each 50 ms. */
+/** Reports the waits in turn for 5 s, one every 50 ms, and returns the limit.
+ */
 double
 limitAfter(AdmissionControl& aControl,
            TimePoint& aNow,
@@ -147,7 +147,7 @@
   return aControl.limit("msaidizi");
 }
 
-TEST(AdmissionControl, aStandingQueueShrinksTheLimitAndItsEndGrowsItBack)
+TEST(AdmissionControl, aStandingQueueShrinksTheLimitAndItsEndRestoresIt)
 {
   AdmissionControl control = admission();
   admitMany(control, query("small"), 100);
@@ -159,7 +159,7 @@
   EXPECT_LT(limitAfter(control, now, { 5, 400, 400 }), grown);
 }
 
-TEST(AdmissionControl, finishGivesBackPlacesAndUnusedTokens)
+TEST(AdmissionControl, finishReturnsCapacityAndUnusedTokens)
 {
   AdmissionControl control = admission();
   std::vector<std::uint64_t> tickets;
@@ -177,20 +177,20 @@
   EXPECT_TRUE(admitted(control, query("large"), kStart));
 }
 
-TEST(AdmissionControl, refusedCallersComeBackSpreadOutAndLaterUnderOverload)
+TEST(AdmissionControl, retryTimesAreSpreadAndGrowUnderOverload)
 {
   AdmissionControl control = admission();
   admitMany(control, query("large"), 100);
-  const auto draw = [&control] {
+  const auto retryAfter = [&control] {
     return std::get<Refused>(control.admit(query("large"), kStart)).retryAfter;
   };
   std::vector<Duration> waits;
   waits.reserve(2000);
   for (int i = 0; i < 2000; ++i) {
-    waits.push_back(draw());
+    waits.push_back(retryAfter());
   }
-  // 100 let in, 2000 sent away: they come back over some 20 s, in no second
-  // more than a part of them.
+  // With 100 admitted and 2000 rejected requests, the retries spread over some
+  // 20 s, and every second gets less than 700 of them.
   std::vector<int> perSecond(70, 0);
   for (const Duration wait : waits) {
     ++perSecond.at(static_cast<std::size_t>(
