--- a/tests/unit/users_platform/DecodersTest.cpp
+++ b/tests/unit/users_platform/DecodersTest.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(account->priority, 2);
 }
 
-TEST(ConfigDecoder, NamesWhatItCannotUse)
+TEST(ConfigDecoder, TheErrorNamesWhatCannotBeUsed)
 {
   EXPECT_EQ(decodeConfig("[]").error().kind, ErrorKind::Malformed);
   const auto unknown = decodeConfig(
@@ -59,7 +59,7 @@
   EXPECT_NE(unknown.error().detail.find("odd"), std::string::npos);
 }
 
-TEST(ReplicaDecoder, ReadsLayersWhetherListedOrNot)
+TEST(ReplicaDecoder, ReadsLayersFromAnObjectOrAnArray)
 {
   const auto listed = decodeReplica(
     "i-1",
@@ -86,13 +86,13 @@
   EXPECT_FALSE(empty.value().layers);
 }
 
-TEST(ReplicaDecoder, TellsTheStartsOfAnEndpointApart)
+TEST(ReplicaDecoder, DistinguishesIncarnationsOfAnEndpoint)
 {
-  const auto at = [](const std::string& aBorn) {
+  const auto at = [](const std::string& aStartedAtMs) {
     return decodeReplica("i-1",
                          R"({"Service":"s","Address":"10.0.0.1:80","Zone":"a",
         "Slots":4,"State":"ready","born":)" +
-                           aBorn + "}");
+                           aStartedAtMs + "}");
   };
   const auto before = at("1764734942123");
   const auto after = at("1764734950456");
@@ -103,10 +103,11 @@
   EXPECT_EQ(before.value().startedAtMs, 1'764'734'942'123U);
 }
 
-TEST(ReplicaDecoder, AnEntryOfAnotherWriterNamesNoReplica)
+TEST(ReplicaDecoder, RejectsMalformedEntries)
 {
-  // Somebody else writes into the platform's list. Each of these was taken for
-  // a replica that is ready, with guesses for what it did not say.
+  // Other processes write to the platform's list too. Guards against entries
+  // with missing or wrong fields that are taken for ready replicas with default
+  // values.
   const nlohmann::json good = nlohmann::json::parse(
     R"({"Service":"s","Address":"10.0.0.1:80","Zone":"a","Slots":4,
         "State":"ready","Kind":"t4","Sequence":3,"born":1764734942123,
@@ -148,13 +149,13 @@
   }
 }
 
-TEST(ReplicaDecoder, NamesAnEntryWithoutAnAddress)
+TEST(ReplicaDecoder, RejectsAnEntryWithoutAnAddress)
 {
   EXPECT_FALSE(decodeReplica("i-1", R"({"Service":"s"})"));
   EXPECT_FALSE(decodeReplica("i-1", "no JSON"));
 }
 
-TEST(ReplicaDecoder, ReadsWhoWorkWaitsFor)
+TEST(ReplicaDecoder, ReadsWhatStalledRequestsAreBlockedOn)
 {
   const auto report = decodeReport(
     R"({"pace":2.5,"Stalled":[{"Id":"r1","Address":"10.0.0.2:80"},
@@ -165,7 +166,7 @@
   EXPECT_EQ(report.value().stalled[0].requestId, "r1");
 }
 
-TEST(PathText, WritesEachPartWithItsLayers)
+TEST(PathText, FormatsEachPartWithItsLayers)
 {
   LayerPath path;
   path.parts = { { "a", { "10.0.0.1", 80 }, { 0, 20 } },
@@ -173,7 +174,7 @@
   EXPECT_EQ(pathText(path), "10.0.0.1:80=0-20,10.0.0.2:81=20-80");
 }
 
-TEST(Base64, GivesBackWhatWasWritten)
+TEST(Base64, DecodesWhatItEncoded)
 {
   for (const std::string text : { "", "a", "ab", "abc", "abcd" }) {
     EXPECT_EQ(fromBase64(toBase64(text)), text);
--- a/tests/unit/users_platform/UsersStoreTest.cpp
+++ b/tests/unit/users_platform/UsersStoreTest.cpp
@@ -10,7 +10,7 @@
 using standins::UsersStoreStandin;
 using std::chrono::milliseconds;
 
-/** Above what any read takes, also on a busy machine. */
+/** Longer than any read takes, also on a busy machine. */
 constexpr Duration kTimeout = std::chrono::seconds{ 60 };
 
 const std::string kConfig = R"({"Version":7,"Routes":[],"Services":[]})";
@@ -29,7 +29,7 @@
   UsersStore store;
 };
 
-TEST_F(UsersStoreTest, KeepsRowsUnderConditions)
+TEST_F(UsersStoreTest, WritesRowsOnlyIfTheVersionMatches)
 {
   const auto none = this->store.readRow("own", "lease");
   ASSERT_TRUE(none);
@@ -48,10 +48,11 @@
   EXPECT_EQ(row.value()->version, first.value().front());
 }
 
-TEST_F(UsersStoreTest, ARefusedWriteWasNotDoneAndALostAnswerMayHaveBeen)
+TEST_F(UsersStoreTest, ARefusedWriteIsUnavailableAndALostAnswerIsUnknown)
 {
-  // A lease that took "refused" for "perhaps" would wait for nothing; one that
-  // took a lost answer for a refusal would act without holding it.
+  // A lease that takes a refused write for an unknown outcome waits without
+  // need. One that takes a lost answer for a refusal, although the write was
+  // done, may act without holding the lease.
   this->standin.faults.refuseWith = 503;
   const auto refused =
     this->store.transact({ TableWrite{ "own", "lease", 0, "me" } });
@@ -85,7 +86,7 @@
   EXPECT_EQ(changed.value().config->version, 9U);
 }
 
-TEST_F(UsersStoreTest, AnUnreadableConfigurationIsNamedAndNothingIsLost)
+TEST_F(UsersStoreTest, AnUnreadableConfigurationIsReportedAndNotTaken)
 {
   this->standin.put("op", "config", kConfig);
   const auto first = this->store.readConfig(kTimeout);
@@ -97,7 +98,7 @@
   EXPECT_EQ(changed.value().unreadable.size(), 1U);
 }
 
-TEST_F(UsersStoreTest, ForgottenHistoryIsToldApartFromAnOutage)
+TEST_F(UsersStoreTest, DroppedHistoryIsDistinguishedFromAnOutage)
 {
   this->standin.faults.forgetHistory = true;
   const auto gone = this->store.awaitReplicas(1, milliseconds{ 10 });
