--- a/include/poplartrack/admit/AdmissionControl.h
+++ b/include/poplartrack/admit/AdmissionControl.h
@@ -100,6 +100,7 @@
   struct Account
   {
     AccountSpec spec;
+    /** Hash of its name, see accountHash(). */
     std::uint64_t hash = 0;
     TokenBucket requests;
     TokenBucket tokens;
--- a/include/poplartrack/retry/RecentlyServedRequests.h
+++ b/include/poplartrack/retry/RecentlyServedRequests.h
@@ -20,10 +20,10 @@
 {
 public:
   /** Records that a replica completed the request. */
-  void onServed(const Fingerprint& aContent, TimePoint aNow);
+  void onServed(const Fingerprint& aRequest, TimePoint aNow);
   /** Returns when the request was last served, or nullopt if that was more than
    * a minute ago. */
-  [[nodiscard]] std::optional<TimePoint> lastServed(const Fingerprint& aContent,
+  [[nodiscard]] std::optional<TimePoint> lastServed(const Fingerprint& aRequest,
                                                     TimePoint aNow) const;
 
 private:
--- a/include/poplartrack/retry/RetryBudget.h
+++ b/include/poplartrack/retry/RetryBudget.h
@@ -18,7 +18,8 @@
   double reserve = 16;
   /** Time constant with which earned retries decay. A full budget covers one
    * retry of everything in flight (3 s of requests) when an availability zone
-   * fails. Over the window it earns no more than ratio again. */
+   * fails. Over the window, requests earn no more than ratio
+   * again. */
   Duration window = std::chrono::seconds{ 30 };
 };
 
--- a/include/poplartrack/retry/StallDetector.h
+++ b/include/poplartrack/retry/StallDetector.h
@@ -9,8 +9,8 @@
 /** When an attempt without new tokens counts as stalled. */
 struct StallPolicy
 {
-  /** Time without a token, as a multiple of the expected time per token, after
-   * which a stall is assumed. */
+  /** A stall is assumed after this multiple of the expected time to the next
+   * token, plus an allowance for its variation. */
   double factor = 8;
   /** Bounds of that time. */
   Duration shortest = std::chrono::milliseconds{ 250 };
--- a/src/admit/AdmissionControl.cpp
+++ b/src/admit/AdmissionControl.cpp
@@ -155,6 +155,7 @@
                                TimePoint aNow)
 {
   const AccountSpec& spec = aAccount.spec;
+  // Avoids a division by zero for an account with a limit of 0.
   constexpr double kMinRate = 1e-9;
   const double seconds =
     std::max(1 / std::max(spec.requestsPerSecond, kMinRate),
--- a/src/admit/ModelGate.cpp
+++ b/src/admit/ModelGate.cpp
@@ -11,6 +11,7 @@
 constexpr std::array<double, kPriorityCount> kPriorityCeilings{ 1.0,
                                                                 0.97,
                                                                 0.9 };
+/** Interval between sweeps of idle accounts. */
 constexpr Duration kSweepInterval = std::chrono::seconds{ 1 };
 
 std::size_t
--- a/src/retry/RecentlyServedRequests.cpp
+++ b/src/retry/RecentlyServedRequests.cpp
@@ -15,24 +15,24 @@
 } // namespace
 
 void
-RecentlyServedRequests::onServed(const Fingerprint& aContent, TimePoint aNow)
+RecentlyServedRequests::onServed(const Fingerprint& aRequest, TimePoint aNow)
 {
   if (aNow - this->currentSince >= kRetention / 2) {
     this->previous = std::exchange(this->current, {});
     this->currentSince = aNow;
   }
   if (this->current.size() < kMaxRequestsPerHalf ||
-      this->current.contains(aContent)) {
-    this->current.insert_or_assign(aContent, aNow);
+      this->current.contains(aRequest)) {
+    this->current.insert_or_assign(aRequest, aNow);
   }
 }
 
 std::optional<TimePoint>
-RecentlyServedRequests::lastServed(const Fingerprint& aContent,
+RecentlyServedRequests::lastServed(const Fingerprint& aRequest,
                                    TimePoint aNow) const
 {
   for (const ServedTimes* servedTimes : { &this->current, &this->previous }) {
-    const auto found = servedTimes->find(aContent);
+    const auto found = servedTimes->find(aRequest);
     if (found != servedTimes->end() && aNow - found->second < kRetention) {
       return found->second;
     }
