--- a/src/relay/Exchange.h
+++ b/src/relay/Exchange.h
@@ -32,7 +32,8 @@
   MessageHead head;
   std::string body;
   std::string requestId;
-  /** Fingerprint of the content, computed when first needed; see contentOf. */
+  /** Fingerprint of the content, computed when first needed; see
+   * contentFingerprint(). */
   std::optional<Fingerprint> content;
   /** The configuration that admitted the request. It owns route, account and
    * service. */
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -27,10 +27,11 @@
 
 } // namespace
 
-RetryNeed
+RetryPriority
 retryNeedOf(const Exchange& aExchange)
 {
-  return aExchange.answering ? RetryNeed::Started : RetryNeed::Fresh;
+  return aExchange.answering ? RetryPriority::Started
+                             : RetryPriority::Unanswered;
 }
 
 /** Logs an event of a request with the state of the request. */
--- a/src/relay/RelayLoopImpl.h
+++ b/src/relay/RelayLoopImpl.h
@@ -32,8 +32,8 @@
 #include "poplartrack/retry/CrashLedger.h"
 #include "poplartrack/retry/CrashWatch.h"
 #include "poplartrack/retry/Fingerprint.h"
+#include "poplartrack/retry/RecentlyServedRequests.h"
 #include "poplartrack/retry/RetryBudgets.h"
-#include "poplartrack/retry/ServedContents.h"
 
 namespace poplartrack {
 
@@ -68,7 +68,7 @@
 
 /** Returns the kind of retry that the request would need, depending on whether
  * its answer has started. */
-RetryNeed
+RetryPriority
 retryNeedOf(const Exchange& aExchange);
 
 /** How the connection of an attempt ended. */
@@ -367,7 +367,7 @@
   WaitQueue waiting;
   CrashWatch crashWatch;
   CrashLedger crashes;
-  ServedContents servedContents;
+  RecentlyServedRequests recentlyServed;
   /** The quarantine of the store that was last merged into crashes. */
   std::shared_ptr<const std::vector<Fingerprint>> lastStoredQuarantine;
   /** When the current round of the wait queue began. */
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -94,9 +94,9 @@
   // Without retry budget the request keeps its attempt: the lost layers are
   // available again in its zone after about one second, and the first replica
   // keeps the work for longer than that.
-  const RetryNeed need = aPlanned ? RetryNeed::Planned : retryNeedOf(aExchange);
+  const RetryPriority need = aPlanned ? RetryPriority::Planned : retryNeedOf(aExchange);
   if (needsMoreCrossings && mayResume && preferResume &&
-      this->budgetOf(aExchange).open(need, this->now) &&
+      this->budgetOf(aExchange).mayRetry(need, this->now) &&
       this->choosePath(aExchange, {}).ok()) {
     this->onAttemptFailed(aExchange, ReplicaFailure::Refused, "part lost");
     return;
@@ -140,7 +140,7 @@
   if (!mayMove) {
     return;
   }
-  if (!this->budgetOf(aExchange).open(RetryNeed::Planned, this->now)) {
+  if (!this->budgetOf(aExchange).mayRetry(RetryPriority::Planned, this->now)) {
     this->shared.metrics.count("planned_moves_without_budget_total");
     return;
   }
