--- a/benchmark/baseline/RuleGraph.cpp
+++ b/benchmark/baseline/RuleGraph.cpp
@@ -46,9 +46,9 @@
 /** Stage by stage, an endpoint that holds the next layer runs all it holds
  * from there; the edges take the stages in order. */
 void
-LayerGraph::fold(bool aWithResting,
-                 double /*aSpread*/,
-                 std::mt19937_64& aRandom)
+LayerGraph::buildEdges(bool aWithBackingOff,
+                       double /*aSpread*/,
+                       std::mt19937_64& aRandom)
 {
   this->edges.clear();
   std::uint32_t layer = 0;
@@ -57,8 +57,9 @@
     for (std::uint32_t i = 0; i < this->candidates.size(); ++i) {
       const Candidate& candidate = this->candidates[i];
       const LayerRange& holds = candidate.info->holds;
-      const bool may = candidate.fitness == Fitness::Fit ||
-                       (candidate.fitness == Fitness::Resting && aWithResting);
+      const bool may =
+        candidate.fitness == Fitness::Fit ||
+        (candidate.fitness == Fitness::BackingOff && aWithBackingOff);
       if (may && holds.from <= layer && layer < holds.to) {
         fit.push_back(i);
       }
--- a/benchmark/decision_cost.cpp
+++ b/benchmark/decision_cost.cpp
@@ -48,7 +48,7 @@
     info.modelVersion = "v1";
     info.holds = shape.holds;
     info.load = LoadHint{ 8, 4, 40, 9000, 0 };
-    info.loadHeard = kStart;
+    info.loadReportedAt = kStart;
     view.endpoints.push_back(info);
   }
   return view;
--- a/benchmark/decisions/Baselines.h
+++ b/benchmark/decisions/Baselines.h
@@ -69,7 +69,7 @@
     std::vector<const EndpointInfo*> fit;
     for (const EndpointInfo& info : aView.endpoints) {
       const bool holds =
-        info.holds.from <= aLayer && aLayer < info.holds.to && !info.leaving;
+        info.holds.from <= aLayer && aLayer < info.holds.to && !info.draining;
       const auto rests = this->restsUntil.find(info.name);
       const bool resting =
         rests != this->restsUntil.end() && aNow < rests->second;
--- a/benchmark/decisions/Simulation.h
+++ b/benchmark/decisions/Simulation.h
@@ -509,7 +509,7 @@
       }
       EndpointInfo& info = entry.view.endpoints[i];
       info.load = endpoint.report();
-      info.loadHeard = point(now);
+      info.loadReportedAt = point(now);
       if (endpoint.lies) {
         info.load.attempts = 1;
         info.load.queued = 0;
--- a/benchmark/placement.cpp
+++ b/benchmark/placement.cpp
@@ -135,13 +135,13 @@
   }
   const PlacementPlan plan = aRegion.plan();
   PlacementLimits limits;
-  limits.maxAnnouncing = static_cast<std::uint32_t>(view.size());
+  limits.maxPendingFences = static_cast<std::uint32_t>(view.size());
   PlacementStep step{ 1, limits };
   TimePoint now{ std::chrono::seconds{ 100 } };
   for (int round = 0; round < 3; ++round) {
     now += std::chrono::seconds{ 2 };
     for (EndpointInfo& info : view) {
-      info.holdsHeard = now;
+      info.holdsReportedAt = now;
     }
     for (const PlacementOrder& order :
          step.next(aRegion.configuration, plan, view, now)) {
--- a/include/poplartrack/place/PlacementLimits.h
+++ b/include/poplartrack/place/PlacementLimits.h
@@ -12,7 +12,7 @@
   /** Endpoints that load at a time; the weight store is rate-limited. */
   std::uint32_t maxLoads = 4;
   /** Announcements sent and not yet answered. */
-  std::uint32_t maxAnnouncing = 32;
+  std::uint32_t maxPendingFences = 32;
   /** What is heard of an endpoint this soon after its answer to an order may
    * still tell of the time before the order: a side asks its endpoint each 0.5
    * s and waits 1 s for it, and a probe of the side takes up to 0.5 s. */
--- a/include/poplartrack/route/EndpointHint.h
+++ b/include/poplartrack/route/EndpointHint.h
@@ -17,7 +17,7 @@
 {
   Fit,
   /** Resting after failures; taken only when nothing else covers a layer. */
-  Resting,
+  BackingOff,
   Unfit,
 };
 
--- a/include/poplartrack/route/EndpointInfo.h
+++ b/include/poplartrack/route/EndpointInfo.h
@@ -27,16 +27,16 @@
   LayerRange holds;
   /** When model, version and holds were heard, by a probe; replies to requests
    * refresh the load alone. */
-  TimePoint holdsHeard{};
+  TimePoint holdsReportedAt{};
   /** Layers that fit the endpoint's memory; 0: it did not say. */
   std::uint32_t capacityLayers = 0;
   /** Layers of one token that it nominally runs a second; 0: it did not say. */
   std::uint32_t layersPerSecond = 0;
   /** Leaving by the instance list or by the side's own word. */
-  bool leaving = false;
+  bool draining = false;
   LoadHint load;
   /** When the load was heard. */
-  TimePoint loadHeard{};
+  TimePoint loadReportedAt{};
   /** Smoothed round trip to the side. */
   Duration roundTrip{ 0 };
   /** Calls to it that failed in a row. */
--- a/include/poplartrack/route/LayerGraph.h
+++ b/include/poplartrack/route/LayerGraph.h
@@ -55,20 +55,22 @@
 
   /** Folds the fit candidates, or the resting ones as well, each at a cost
    * drawn up by up to aSpread of itself. */
-  void fold(bool aWithResting, double aSpread, std::mt19937_64& aRandom);
+  void buildEdges(bool aWithBackingOff,
+                  double aSpread,
+                  std::mt19937_64& aRandom);
 
   /** The cheapest path, empty when there is none. No candidate is in it
    * twice. */
   [[nodiscard]] std::vector<PathStage> cheapest() const;
 
 private:
-  static constexpr std::uint32_t kNobody = UINT32_MAX;
+  static constexpr std::uint32_t kNone = UINT32_MAX;
 
   /** The cheapest candidate between two cuts in one zone. */
   struct Edge
   {
     double cost = 0;
-    std::uint32_t candidate = kNobody;
+    std::uint32_t candidate = kNone;
   };
   /** The cheapest way to a node. */
   struct Node
--- a/include/poplartrack/route/RouteChooser.h
+++ b/include/poplartrack/route/RouteChooser.h
@@ -95,7 +95,7 @@
   /** One endpoint is to blame for a failure: it rests for a while. */
   void onEndpointFailed(std::string_view aEndpoint, TimePoint aNow);
   /** One endpoint answered: its failures are forgotten. */
-  void onEndpointWell(std::string_view aEndpoint);
+  void onEndpointSucceeded(std::string_view aEndpoint);
   /** A call to a plain service's endpoint began or ended. */
   void onPlainStarted(const std::string& aEndpoint, TimePoint aNow);
   void onPlainEnded(const std::string& aEndpoint, bool aWell, TimePoint aNow);
--- a/src/entry/EndpointTracker.cpp
+++ b/src/entry/EndpointTracker.cpp
@@ -204,11 +204,11 @@
   info.model = aReply.model;
   info.modelVersion = aReply.modelVersion;
   info.holds = aReply.holds;
-  info.holdsHeard = aNow;
+  info.holdsReportedAt = aNow;
   info.capacityLayers = aReply.capacityLayers;
   info.layersPerSecond = aReply.layersPerSecond;
   info.load = aReply.load;
-  info.loadHeard = aNow;
+  info.loadReportedAt = aNow;
   info.roundTrip = smoothed(info.roundTrip, aRoundTrip);
   info.failures = 0;
   tracked.saysLeaving = aReply.leaving;
@@ -269,7 +269,7 @@
     return;
   }
   tracked->info.load = aLoad;
-  tracked->info.loadHeard = aNow;
+  tracked->info.loadReportedAt = aNow;
   tracked->lastHeard = aNow;
   if (tracked->info.failures != 0) {
     tracked->info.failures = 0;
@@ -309,7 +309,7 @@
       continue;
     }
     EndpointInfo info = tracked.info;
-    info.leaving = tracked.listedLeaving || tracked.saysLeaving;
+    info.draining = tracked.listedLeaving || tracked.saysLeaving;
     view->endpoints.push_back(std::move(info));
   }
   return view;
--- a/src/entry/EntryPages.cpp
+++ b/src/entry/EntryPages.cpp
@@ -33,7 +33,7 @@
                              { "version", info.modelVersion },
                              { "holds", { info.holds.from, info.holds.to } },
                              { "accelerator", info.accelerator },
-                             { "leaving", info.leaving },
+                             { "leaving", info.draining },
                              { "failures", info.failures },
                              { "attempts", info.load.attempts } });
   }
--- a/src/entry/EntryServer.cpp
+++ b/src/entry/EntryServer.cpp
@@ -268,9 +268,10 @@
   this->models->onEndpointGone(aEndpoint);
   // The failures were its former life's. A burst of them while it was away
   // would else leave the only replica of a layer unused for 20 s more.
-  this->decider.with([&](RouteChooser& aChooser,
-                         AdmissionControl&,
-                         RetryBudget&) { aChooser.onEndpointWell(aEndpoint); });
+  this->decider.with(
+    [&](RouteChooser& aChooser, AdmissionControl&, RetryBudget&) {
+      aChooser.onEndpointSucceeded(aEndpoint);
+    });
 }
 
 void
--- a/src/place/EndpointProgress.cpp
+++ b/src/place/EndpointProgress.cpp
@@ -24,7 +24,7 @@
         const PlacementLimits& aLimits,
         TimePoint aNow)
 {
-  return aNow - aInfo.holdsHeard <= aLimits.maxAge;
+  return aNow - aInfo.holdsReportedAt <= aLimits.maxAge;
 }
 
 } // namespace
@@ -53,7 +53,7 @@
     this->incarnation = aInfo.incarnation;
     return;
   }
-  const bool heardSince = aInfo.holdsHeard > this->since + aLimits.settle;
+  const bool heardSince = aInfo.holdsReportedAt > this->since + aLimits.settle;
   const Duration age = aNow - this->since;
   switch (this->at) {
     case OrderPhase::Unfenced:
@@ -85,7 +85,7 @@
                              const PlacementLimits& aLimits,
                              TimePoint aNow) const
 {
-  if (aInfo.leaving || !isFresh(aInfo, aLimits, aNow)) {
+  if (aInfo.draining || !isFresh(aInfo, aLimits, aNow)) {
     return {};
   }
   switch (this->at) {
--- a/src/place/PlacementDraft.cpp
+++ b/src/place/PlacementDraft.cpp
@@ -9,7 +9,7 @@
 bool
 isEngineFor(const PlacementEndpoint& aEndpoint)
 {
-  return aEndpoint.info.service == "engine" && !aEndpoint.info.leaving &&
+  return aEndpoint.info.service == "engine" && !aEndpoint.info.draining &&
          aEndpoint.capacityLayers > 0;
 }
 
--- a/src/place/PlacementStep.cpp
+++ b/src/place/PlacementStep.cpp
@@ -116,10 +116,10 @@
 {
   std::uint32_t announcing = this->inPhase(OrderPhase::Announcing);
   for (const EndpointInfo& info : aView) {
-    if (!isEngine(info) || info.leaving) {
+    if (!isEngine(info) || info.draining) {
       continue;
     }
-    if (announcing >= this->limits.maxAnnouncing) {
+    if (announcing >= this->limits.maxPendingFences) {
       return;
     }
     EndpointProgress& state = this->states[info.name];
@@ -142,7 +142,7 @@
   std::map<std::string, const EndpointInfo*> known;
   for (const EndpointInfo& info : aView) {
     const auto state = this->states.find(info.name);
-    if (state == this->states.end() || info.leaving ||
+    if (state == this->states.end() || info.draining ||
         state->second.phase() != OrderPhase::Known) {
       continue;
     }
--- a/src/route/EndpointEstimate.cpp
+++ b/src/route/EndpointEstimate.cpp
@@ -32,7 +32,7 @@
   if (aInfo.load == LoadHint{}) {
     return 0;
   }
-  const double age = microsBetween(aInfo.loadHeard, aNow);
+  const double age = microsBetween(aInfo.loadReportedAt, aNow);
   return std::exp2(-age / static_cast<double>(aPolicy.hintHalfLife.count()));
 }
 
--- a/src/route/EndpointHint.cpp
+++ b/src/route/EndpointHint.cpp
@@ -23,14 +23,14 @@
          EndpointRecord& aRecord)
 {
   const LoadHint& hint = aInfo.load;
-  if (aInfo.loadHeard == aRecord.hintHeard || hint.stepMicros == 0) {
+  if (aInfo.loadReportedAt == aRecord.hintHeard || hint.stepMicros == 0) {
     return;
   }
   const double since =
-    static_cast<double>((aInfo.loadHeard - aRecord.hintHeard).count());
+    static_cast<double>((aInfo.loadReportedAt - aRecord.hintHeard).count());
   const double share =
     std::min(kMostHintWeight, 1 - std::exp(-since / kHintSmoothMicros));
-  aRecord.hintHeard = aInfo.loadHeard;
+  aRecord.hintHeard = aInfo.loadReportedAt;
   aRecord.inFlightAtHint = aRecord.inFlight;
   const double step =
     static_cast<double>(hint.stepMicros) / std::max(1U, aInfo.holds.size());
@@ -65,11 +65,11 @@
           const EndpointRecord& aRecord,
           TimePoint aNow)
 {
-  if (aInfo.leaving) {
+  if (aInfo.draining) {
     return Fitness::Unfit;
   }
   if (aInfo.failures >= kSuspectFailures) {
-    return Fitness::Resting;
+    return Fitness::BackingOff;
   }
   if (aRecord.failures == 0) {
     return Fitness::Fit;
@@ -77,7 +77,7 @@
   // After its rest a suspect gets one attempt at a time until one goes well:
   // more would be lost together if it is still ill.
   const bool trialOpen = aRecord.inFlight > 0;
-  return aNow < aRecord.restsUntil || trialOpen ? Fitness::Resting
+  return aNow < aRecord.restsUntil || trialOpen ? Fitness::BackingOff
                                                 : Fitness::Fit;
 }
 
--- a/src/route/LayerGraph.cpp
+++ b/src/route/LayerGraph.cpp
@@ -116,15 +116,17 @@
 }
 
 void
-LayerGraph::fold(bool aWithResting, double aSpread, std::mt19937_64& aRandom)
+LayerGraph::buildEdges(bool aWithBackingOff,
+                       double aSpread,
+                       std::mt19937_64& aRandom)
 {
   this->edges.assign(this->cuts.size() * this->cuts.size() * this->zoneCount,
                      Edge{});
   std::uniform_real_distribution<double> draw(1.0, 1.0 + aSpread);
   for (std::uint32_t i = 0; i < this->candidates.size(); ++i) {
     const Fitness fitness = this->candidates[i].fitness;
-    const bool resting = fitness == Fitness::Resting;
-    if (fitness == Fitness::Unfit || (resting && !aWithResting)) {
+    const bool resting = fitness == Fitness::BackingOff;
+    if (fitness == Fitness::Unfit || (resting && !aWithBackingOff)) {
       continue;
     }
     this->offer(i, draw(aRandom) * (resting ? kRestingFactor : 1));
@@ -149,7 +151,7 @@
         static_cast<std::uint32_t>(from - this->cuts.begin()),
         static_cast<std::uint32_t>(to - this->cuts.begin()),
         candidate.zone)];
-      if (edge.candidate == kNobody || cost < edge.cost) {
+      if (edge.candidate == kNone || cost < edge.cost) {
         edge = Edge{ cost, aIndex };
       }
     }
@@ -167,7 +169,7 @@
                          std::uint32_t aToZone,
                          double aBefore) {
     const Edge& edge = this->edges[this->edgeAt(aFrom, aTo, aToZone)];
-    if (edge.candidate == kNobody) {
+    if (edge.candidate == kNone) {
       return;
     }
     Node& node = nodes[aTo * this->zoneCount + aToZone];
@@ -178,7 +180,7 @@
   };
   for (std::uint32_t to = 1; to < count; ++to) {
     for (std::uint32_t zone = 0; zone < this->zoneCount; ++zone) {
-      if (aFirstZone == kNobody || zone == aFirstZone) {
+      if (aFirstZone == kNone || zone == aFirstZone) {
         relax(0, to, zone, zone, this->zones.hop(0, zone));
       }
     }
@@ -212,7 +214,7 @@
     return std::numeric_limits<double>::infinity();
   }
   // Each next step starts at the first stage again: the hop back counts.
-  const std::uint32_t first = aFirstZone == kNobody ? 0 : aFirstZone;
+  const std::uint32_t first = aFirstZone == kNone ? 0 : aFirstZone;
   return node.cost + (this->work.steps - 1) * this->zones.hop(aLastZone, first);
 }
 
@@ -272,7 +274,7 @@
   std::vector<PathStage> path;
   const std::uint32_t searches = closed ? this->zoneCount : 1;
   for (std::uint32_t i = 0; i < searches; ++i) {
-    const std::uint32_t first = closed ? i : kNobody;
+    const std::uint32_t first = closed ? i : kNone;
     const std::vector<Node> nodes = this->search(first);
     for (std::uint32_t last = 0; last < this->zoneCount; ++last) {
       const double cost = this->total(nodes, last, first);
--- a/src/route/RouteChooser.cpp
+++ b/src/route/RouteChooser.cpp
@@ -221,7 +221,7 @@
 {
   std::vector<PathStage> path;
   for (const bool withResting : { false, true }) {
-    aGraph.fold(withResting, this->policy.spread, this->random);
+    aGraph.buildEdges(withResting, this->policy.spread, this->random);
     path = aGraph.cheapest();
     if (!path.empty()) {
       break;
@@ -253,7 +253,7 @@
     constexpr double kAfterAllOthers = 1e12;
     double cost =
       this->plainWait(info, record, aZone, aNow) * draw(this->random);
-    if (fitness == Fitness::Resting) {
+    if (fitness == Fitness::BackingOff) {
       cost += kAfterAllOthers;
     }
     if (cost < bestCost) {
@@ -274,7 +274,7 @@
                         const std::string& aZone,
                         TimePoint aNow) const
 {
-  const double age = static_cast<double>((aNow - aInfo.loadHeard).count());
+  const double age = static_cast<double>((aNow - aInfo.loadReportedAt).count());
   const double weight =
     std::exp2(-age / static_cast<double>(this->policy.hintHalfLife.count()));
   const double hinted = weight * (aInfo.load.running + aInfo.load.queued);
--- a/src/route/RouteFeedback.cpp
+++ b/src/route/RouteFeedback.cpp
@@ -41,7 +41,7 @@
     EndpointRecord& record = this->known.at(stage.endpoint, aNow);
     record.inFlight -= std::min(record.inFlight, 1U);
     if (aWell) {
-      this->onEndpointWell(stage.endpoint);
+      this->onEndpointSucceeded(stage.endpoint);
     }
   }
 }
@@ -108,7 +108,7 @@
 }
 
 void
-RouteChooser::onEndpointWell(std::string_view aEndpoint)
+RouteChooser::onEndpointSucceeded(std::string_view aEndpoint)
 {
   EndpointRecord* record = this->known.find(aEndpoint);
   if (record != nullptr) {
@@ -133,7 +133,7 @@
   EndpointRecord& record = this->known.at(aEndpoint, aNow);
   record.inFlight -= std::min(record.inFlight, 1U);
   if (aWell) {
-    this->onEndpointWell(aEndpoint);
+    this->onEndpointSucceeded(aEndpoint);
   } else {
     this->onEndpointFailed(aEndpoint, aNow);
   }
--- a/tests/unit/entry/EndpointTrackerTest.cpp
+++ b/tests/unit/entry/EndpointTrackerTest.cpp
@@ -82,12 +82,12 @@
   // refuses the entries whose list still lags. Cancelling works the same way.
   this->learn("a", 5);
   this->tracker.onInstanceList({ sideOf("a", true) }, this->clock.now());
-  EXPECT_TRUE(this->tracker.view()->endpoints[0].leaving);
+  EXPECT_TRUE(this->tracker.view()->endpoints[0].draining);
   const auto targets = this->tracker.dueProbes(this->clock.now());
   ASSERT_EQ(targets.size(), 1U);
   EXPECT_TRUE(targets[0].listedLeaving);
   this->tracker.onInstanceList({ sideOf("a", false) }, this->clock.now());
-  EXPECT_FALSE(this->tracker.view()->endpoints[0].leaving);
+  EXPECT_FALSE(this->tracker.view()->endpoints[0].draining);
 }
 
 TEST_F(EndpointTrackerTest, aRestartIsReported)
--- a/tests/unit/place/PlacementPlannerTest.cpp
+++ b/tests/unit/place/PlacementPlannerTest.cpp
@@ -110,7 +110,7 @@
                                    const std::string& aModel,
                                    std::uint32_t aLayer)
   {
-    return aEndpoint.info.model == aModel && !aEndpoint.info.leaving &&
+    return aEndpoint.info.model == aModel && !aEndpoint.info.draining &&
            aEndpoint.info.holds.contains({ aLayer, aLayer + 1 });
   }
 };
@@ -211,7 +211,7 @@
   Region region = mixedRegion();
   ASSERT_GE(region.settle(), 0);
   for (std::size_t i = 0; i < 10; ++i) {
-    region.endpoints[i].info.leaving = true;
+    region.endpoints[i].info.draining = true;
   }
   ASSERT_GE(region.settle(), 0);
   for (std::uint32_t layer = 0; layer < 32; ++layer) {
--- a/tests/unit/place/PlacementWorld.cpp
+++ b/tests/unit/place/PlacementWorld.cpp
@@ -25,7 +25,7 @@
   placer.plan = std::move(aPlan);
   for (const Engine& engine : this->fleet) {
     placer.view.push_back(engine.truth);
-    placer.view.back().holdsHeard = this->clock.now();
+    placer.view.back().holdsReportedAt = this->clock.now();
   }
   this->all.push_back(std::move(placer));
 }
@@ -35,7 +35,7 @@
 {
   EndpointInfo& seen = this->all[aPlacer].view[aEngine];
   seen = this->fleet[aEngine].truth;
-  seen.holdsHeard = this->clock.now();
+  seen.holdsReportedAt = this->clock.now();
 }
 
 void
--- a/tests/unit/route/RouteChooserTest.cpp
+++ b/tests/unit/route/RouteChooserTest.cpp
@@ -26,7 +26,7 @@
   info.modelVersion = "1";
   info.holds = aHolds;
   info.load.stepMicros = 1000 * aHolds.size();
-  info.loadHeard = kStart;
+  info.loadReportedAt = kStart;
   return info;
 }
 
@@ -95,12 +95,12 @@
       from + 1 + static_cast<std::uint32_t>(random() % (kLayers - from));
     EndpointInfo info = engine("e" + std::to_string(i), { from, to });
     info.zone = "oslo-" + std::to_string(random() % 3);
-    info.leaving = random() % 8 == 0;
+    info.draining = random() % 8 == 0;
     info.failures = random() % 8 == 0 ? 3 : 0;
     if (random() % 8 == 0) {
       wanted.avoid.insert(info.name);
     }
-    if (!info.leaving && !wanted.avoid.contains(info.name)) {
+    if (!info.draining && !wanted.avoid.contains(info.name)) {
       std::fill(covered.begin() + from, covered.begin() + to, true);
     }
     view.endpoints.push_back(info);
@@ -122,7 +122,7 @@
     RC_ASSERT(stage.runs.from == next);
     RC_ASSERT(stage.runs.size() > 0U);
     RC_ASSERT(info.holds.contains(stage.runs));
-    RC_ASSERT(!info.leaving);
+    RC_ASSERT(!info.draining);
     RC_ASSERT(!wanted.avoid.contains(stage.endpoint));
     RC_ASSERT(used.insert(stage.endpoint).second);
     next = stage.runs.to;
@@ -187,10 +187,10 @@
   startMany(choice, view, 1);
   const TimePoint later = kStart + std::chrono::seconds{ 30 };
   for (EndpointInfo& info : view.endpoints) {
-    info.loadHeard = later;
+    info.loadReportedAt = later;
   }
   view.endpoints.push_back(engine("fresh", { 0, 12 }));
-  view.endpoints.back().loadHeard = later;
+  view.endpoints.back().loadReportedAt = later;
   view.endpoints.back().load.running = 1;
   const auto counts = startMany(choice, view, 10, later);
   EXPECT_LE(counts.contains("fresh") ? counts.at("fresh") : 0, 5);
@@ -206,7 +206,7 @@
   }
   view.endpoints[0].load.attempts = 0;
   view.endpoints[0].load.running = 1;
-  view.endpoints[0].loadHeard = kStart - std::chrono::seconds{ 20 };
+  view.endpoints[0].loadReportedAt = kStart - std::chrono::seconds{ 20 };
   RouteChooser choice = chooser();
   EXPECT_LE(startMany(choice, view, 40)["e0"], 20);
 }
@@ -263,7 +263,7 @@
   EXPECT_FALSE(startMany(choice, view, 5).contains("a"));
   const TimePoint rested = kStart + std::chrono::seconds{ 1 };
   EXPECT_EQ(startMany(choice, view, 5, rested)["a"], 1);
-  choice.onEndpointWell("a");
+  choice.onEndpointSucceeded("a");
   EXPECT_GE(startMany(choice, view, 5, rested)["a"], 3);
 }
 
