--- a/include/poplartrack/place/EndpointProgress.h
+++ b/include/poplartrack/place/EndpointProgress.h
@@ -10,87 +10,95 @@
 
 namespace poplartrack {
 
-/** How far one endpoint is with the placer's orders. */
+/** How far one endpoint has got with the orders of the current lease. */
 enum class OrderPhase : std::uint8_t
 {
-  /** Has not taken this lease's fencing number. */
+  /** Has not accepted a fencing number of this lease. */
   Unfenced,
-  /** Was told the number by an order that changes nothing else. */
-  Announcing,
-  /** Has taken the number; not heard of since. */
-  Announced,
-  /** What it shows is what it holds. */
+  /** An order with the fencing number that changes nothing else is sent and not
+   * yet answered. */
+  FencePending,
+  /** Has accepted the fencing number; no report since then. */
+  Fenced,
+  /** Its reported layers are the layers that it holds. */
   Known,
-  /** Was ordered to load; no answer yet. */
-  Ordering,
-  /** Has taken the order to load. */
+  /** An order to load is sent and not yet answered. */
+  LoadPending,
+  /** Has accepted the order to load. */
   Loading,
 };
 
 /**
- * What the placer surely knows of one endpoint, though its view is late and
- * orders travel slowly.
+ * Tracks which layers one endpoint is confirmed to hold. Reports arrive late
+ * and orders may be delayed, so a report alone confirms nothing.
  *
- * - An endpoint counts as cover only after it has taken the lease's fencing
- *   number and was heard of since. Else an order of the lease's last holder,
- *   still on its way, could take layers away after they were counted.
- * - While a load is ordered or going on, only the layers that it held before
- *   and keeps count.
- * - An order that was not answered may be taken later. It is never waited for:
- *   the endpoint is told a higher number, which shuts the old order out, and
- *   is looked at anew.
+ * - An endpoint counts as cover only after it has accepted a fencing number of
+ *   this lease and a report has arrived since. Otherwise a delayed order of the
+ *   previous lease holder could remove layers after they were counted.
+ * - While a load is pending or running, only the layers that the endpoint held
+ *   before and keeps are counted.
+ * - An order without an answer may still take effect later. The tracker does
+ *   not wait for it: it sends a higher fencing number, after which the endpoint
+ *   refuses the old order, and then waits for a new report.
  */
 class EndpointProgress
 {
 public:
-  /** Notes what was heard, and the time. */
+  /** Updates the phase from the endpoint's newest report and the time. */
   void observe(const EndpointInfo& aInfo,
                const PlacementLimits& aLimits,
                TimePoint aNow);
-  [[nodiscard]] OrderPhase phase() const { return this->at; }
-  /** May be told the number, or ordered to load. */
-  [[nodiscard]] bool rested(TimePoint aNow) const
+  [[nodiscard]] OrderPhase phase() const { return this->orderPhase; }
+  /** Returns whether the backoff after a failed order is over. */
+  [[nodiscard]] bool backoffOver(TimePoint aNow) const
   {
-    return aNow >= this->restUntil;
+    return aNow >= this->backoffUntil;
   }
-  /** Layers that it surely holds, of what it shows. */
-  [[nodiscard]] LayerRange surelyHeld(const EndpointInfo& aInfo,
-                                      const PlacementLimits& aLimits,
-                                      TimePoint aNow) const;
+  /** Returns the reported layers that the endpoint is confirmed to hold. */
+  [[nodiscard]] LayerRange confirmedHolds(const EndpointInfo& aInfo,
+                                          const PlacementLimits& aLimits,
+                                          TimePoint aNow) const;
 
-  void announce(std::uint64_t aNumber, TimePoint aNow);
-  void order(std::uint64_t aNumber,
-             const EndpointInfo& aInfo,
-             const PlannedHold& aTarget,
-             TimePoint aNow);
-  /** Whether this is the number of the newest order. */
-  [[nodiscard]] bool awaits(std::uint64_t aNumber) const
+  /** Records that an order with only a fencing number was sent. */
+  void onFenceSent(std::uint64_t aFence, TimePoint aNow);
+  /** Records that an order to load aTarget was sent. */
+  void onLoadSent(std::uint64_t aFence,
+                  const EndpointInfo& aInfo,
+                  const PlannedHold& aTarget,
+                  TimePoint aNow);
+  /** Returns whether aFence is the number of the newest order. */
+  [[nodiscard]] bool isNewestOrder(std::uint64_t aFence) const
   {
-    return this->number == aNumber;
+    return this->fence == aFence;
   }
-  void taken(TimePoint aNow);
-  /** Refused, unanswered or given up: starts over after the rest. */
-  void failed(const PlacementLimits& aLimits, TimePoint aNow);
+  /** Records that the endpoint accepted the newest order. */
+  void onAccepted(TimePoint aNow);
+  /** Starts over with Unfenced after a backoff. Called when an order was
+   * refused, got no answer or did not finish in time. */
+  void backOff(const PlacementLimits& aLimits, TimePoint aNow);
 
 private:
+  /** The side's incarnation that the other fields apply to. */
   std::uint64_t incarnation = 0;
-  OrderPhase at = OrderPhase::Unfenced;
-  /** The newest order's number. */
-  std::uint64_t number = 0;
-  /** When the newest order was sent or answered. */
-  TimePoint since{};
-  TimePoint restUntil{};
-  /** What is being loaded. */
+  OrderPhase orderPhase = OrderPhase::Unfenced;
+  /** Fencing number of the newest order. */
+  std::uint64_t fence = 0;
+  /** When the newest order was sent or, later, accepted. */
+  TimePoint orderUpdatedAt{};
+  /** No order is sent before this time. */
+  TimePoint backoffUntil{};
+  /** The model and layers that are being loaded. */
   PlannedHold target;
-  /** Layers held before and after the load. */
-  LayerRange kept;
+  /** Layers held before the load that stay held during it. */
+  LayerRange keptLayers;
 };
 
-/** Layers that stay held while the target is loaded. */
+/** Returns the layers that stay held while aTarget is loaded. */
 LayerRange
 keptWhileLoading(const EndpointInfo& aInfo, const PlannedHold& aTarget);
 
-/** Whether the endpoint shows what the plan asks of it. */
+/** Returns whether the endpoint reports the model, version and layers of
+ * aTarget. */
 bool
 holdsTarget(const EndpointInfo& aInfo, const PlannedHold& aTarget);
 
--- a/include/poplartrack/place/OrderFence.h
+++ b/include/poplartrack/place/OrderFence.h
@@ -4,15 +4,16 @@
 
 namespace poplartrack {
 
-/** Low bits of an order's fencing number: its number under one lease. */
+/** Low bits of a fencing number, which hold the order's number under its
+ * lease. */
 constexpr std::uint32_t kOrderBits = 20;
 constexpr std::uint64_t kMaxOrdersPerLease = std::uint64_t{ 1 } << kOrderBits;
 
 /**
- * The fencing number of one order: the lease's number first, then the order's
- * own. A side that compares these refuses both a former lease holder's orders
- * and an earlier order of the same holder that arrives late, after the same
- * endpoint was told something else.
+ * Returns the fencing number of one order: the lease's fencing number in the
+ * high bits, the order's number in the low bits. A side that refuses lower
+ * numbers than it has seen refuses the orders of a former lease holder, and
+ * also an earlier order of the same holder that arrives after a later one.
  */
 constexpr std::uint64_t
 orderFence(std::uint64_t aLeaseFence, std::uint64_t aOrder)
--- a/include/poplartrack/place/PlacementInput.h
+++ b/include/poplartrack/place/PlacementInput.h
@@ -10,27 +10,31 @@
 
 namespace poplartrack {
 
-/** How placement decides. */
+/** Thresholds of the placement planner. */
 struct PlacementPolicy
 {
-  /** An endpoint is moved to balance the load only if the gain is so many times
-   * the loss: demand that wavers must not move weights to and fro. */
-  double gainOverLoss = 1.5;
-  /** And only if the gain is at least this for each layer a second that the
-   * endpoint runs; about 2 is what one is worth where the load is average. */
-  double leastGain = 0.1;
-  /** Endpoints moved at most in one plan to balance the load. Those that are
-   * missing from a model's minCopies come on top. */
+  /** An endpoint is moved to balance the load only if the gain is more than
+   * this many times the loss, so that fluctuating demand does not move weights
+   * back and forth. */
+  double minGainToLoss = 1.5;
+  /** An endpoint is moved to balance the load only if the gain per unit of its
+   * speed (layers per second) is at least this. At average load one unit of
+   * speed gains about 2. */
+  double minGainPerSpeed = 0.1;
+  /** Maximum number of endpoints that one plan moves to balance the load. Moves
+   * that add copies missing to a model's minCopies are not counted. */
   std::uint32_t maxBalanceMoves = 8;
 };
 
-/** Everything a plan is made from: one region's endpoints. */
+/** The input of the planner: the configuration, the endpoints of one region and
+ * the demand. */
 struct PlacementInput
 {
   const Configuration& configuration;
   const std::vector<PlacementEndpoint>& endpoints;
-  /** Tokens a second asked of each model; a model that is not named has the
-   * demand 0 and gets its minCopies only. All 0: all alike. */
+  /** Requested tokens per second of each model. A model without an entry has
+   * demand 0 and gets only its minCopies. If all demands are 0, all models
+   * count as equally in demand. */
   const std::map<std::string, double>& demand;
 };
 
--- a/include/poplartrack/place/PlacementLease.h
+++ b/include/poplartrack/place/PlacementLease.h
@@ -4,7 +4,7 @@
 
 namespace poplartrack {
 
-/** Key of the placement lease of a region. */
+/** Returns the name of a region's placement lease. */
 inline std::string
 placementLeaseName(const std::string& aRegion)
 {
--- a/include/poplartrack/place/PlacementLimits.h
+++ b/include/poplartrack/place/PlacementLimits.h
@@ -6,26 +6,27 @@
 
 namespace poplartrack {
 
-/** Bounds of carrying out a plan. */
+/** Limits and timeouts for executing a plan. */
 struct PlacementLimits
 {
-  /** Endpoints that load at a time; the weight store is rate-limited. */
+  /** Maximum number of endpoints that load at the same time; the weight store
+   * is rate-limited. */
   std::uint32_t maxLoads = 4;
-  /** Announcements sent and not yet answered. */
+  /** Maximum number of fencing orders that are sent and not yet answered. */
   std::uint32_t maxPendingFences = 32;
-  /** What is heard of an endpoint this soon after its answer to an order may
-   * still tell of the time before the order: a side asks its endpoint each 0.5
-   * s and waits 1 s for it, and a probe of the side takes up to 0.5 s. */
-  Duration settle = std::chrono::seconds{ 3 };
-  /** What was heard longer ago than this proves no cover. */
-  Duration maxAge = std::chrono::seconds{ 10 };
-  /** An order without an answer counts as unknown after this. */
+  /** A report that arrives this soon after the answer to an order may still
+   * describe the state before the order: a side polls its endpoint every 0.5 s
+   * with a timeout of 1 s, and a probe of the side takes up to 0.5 s. */
+  Duration reportDelay = std::chrono::seconds{ 3 };
+  /** An older report does not confirm that layers are held. */
+  Duration maxReportAge = std::chrono::seconds{ 10 };
+  /** The outcome of an order without an answer counts as unknown after this. */
   Duration answerTimeout = std::chrono::seconds{ 3 };
-  /** A load that is not seen to end within this is given up. */
+  /** A load that is not reported as finished within this time has failed. */
   Duration loadTimeout = std::chrono::minutes{ 5 };
-  /** Pause after an order that failed, so that broken endpoints do not hold up
-   * the others. */
-  Duration rest = std::chrono::seconds{ 10 };
+  /** Time without orders to an endpoint after a failed order, so that broken
+   * endpoints do not use up the limits above. */
+  Duration backoff = std::chrono::seconds{ 10 };
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/place/PlacementPlan.h
+++ b/include/poplartrack/place/PlacementPlan.h
@@ -8,7 +8,7 @@
 
 namespace poplartrack {
 
-/** What one endpoint shall hold. */
+/** The model, version and layers that one endpoint is to hold. */
 struct PlannedHold
 {
   std::string endpoint;
@@ -19,14 +19,16 @@
   friend bool operator==(const PlannedHold&, const PlannedHold&) = default;
 };
 
-/** What the endpoints of a region shall hold. */
+/** The layers that each endpoint of a region is to hold. */
 struct PlacementPlan
 {
-  /** In the order of the input; without endpoints that stay empty. */
+  /** In the order of the input, without the endpoints that stay empty. */
   std::vector<PlannedHold> holds;
-  /** Models whose minCopies do not fit the endpoints' memory. */
+  /** Models that have fewer than minCopies of some layer in this plan: the
+   * endpoints' memory does not suffice. */
   std::vector<std::string> shortModels;
-  /** Endpoints that change what they hold, but for a new version. */
+  /** Number of endpoints whose model or layers change; a new version of the
+   * same model does not count. */
   std::uint32_t moves = 0;
 };
 
--- a/include/poplartrack/place/PlacementPlanner.h
+++ b/include/poplartrack/place/PlacementPlanner.h
@@ -6,14 +6,16 @@
 namespace poplartrack {
 
 /**
- * Which layers of which model each endpoint shall hold. A pure function: the
- * same input gives the same plan.
+ * Returns which layers of which model each endpoint is to hold. A pure
+ * function: the same input gives the same plan.
  *
- * Endpoints keep what they hold where that still fits the configuration. Then
- * empty ones go where they are worth most, endpoints with spare copies fill
- * what is missing from minCopies, and a few move to balance the load. An
- * endpoint holds one range of one model, as large as its memory: routes choose
- * what it runs, and large ranges mean few hops.
+ * Endpoints keep the layers that they hold if these still fit the
+ * configuration. Then each empty endpoint gets the range with the greatest
+ * benefit, endpoints whose layers have spare copies move to ranges with fewer
+ * than minCopies, and a few endpoints move to balance the load. An endpoint
+ * holds one range of one model, as large as its memory allows: the route
+ * chooser decides which of these layers it runs, and large ranges mean few
+ * hops.
  */
 PlacementPlan
 planPlacement(const PlacementInput& aInput, const PlacementPolicy& aPolicy);
--- a/src/place/CoverCount.cpp
+++ b/src/place/CopyCount.cpp
@@ -1,11 +1,11 @@
-#include "poplartrack/place/CoverCount.h"
+#include "poplartrack/place/CopyCount.h"
 
 namespace poplartrack {
 
 void
-CoverCount::add(const std::string& aModel,
-                const std::string& aVersion,
-                const LayerRange& aHolds)
+CopyCount::add(const std::string& aModel,
+               const std::string& aVersion,
+               const LayerRange& aHolds)
 {
   std::vector<std::uint32_t>& layers = this->counts[{ aModel, aVersion }];
   if (layers.size() < aHolds.to) {
@@ -17,9 +17,9 @@
 }
 
 void
-CoverCount::remove(const std::string& aModel,
-                   const std::string& aVersion,
-                   const LayerRange& aHolds)
+CopyCount::remove(const std::string& aModel,
+                  const std::string& aVersion,
+                  const LayerRange& aHolds)
 {
   std::vector<std::uint32_t>& layers = this->counts[{ aModel, aVersion }];
   for (std::uint32_t at = aHolds.from; at < aHolds.to; ++at) {
@@ -28,9 +28,9 @@
 }
 
 std::uint32_t
-CoverCount::copies(const std::string& aModel,
-                   const std::string& aVersion,
-                   std::uint32_t aLayer) const
+CopyCount::copies(const std::string& aModel,
+                  const std::string& aVersion,
+                  std::uint32_t aLayer) const
 {
   const auto found = this->counts.find({ aModel, aVersion });
   if (found == this->counts.end() || aLayer >= found->second.size()) {
@@ -40,9 +40,9 @@
 }
 
 bool
-CoverCount::whole(const std::string& aModel,
-                  const std::string& aVersion,
-                  std::uint32_t aLayers) const
+CopyCount::coversAll(const std::string& aModel,
+                     const std::string& aVersion,
+                     std::uint32_t aLayers) const
 {
   for (std::uint32_t at = 0; at < aLayers; ++at) {
     if (this->copies(aModel, aVersion, at) == 0) {
--- a/src/place/EndpointProgress.cpp
+++ b/src/place/EndpointProgress.cpp
@@ -19,12 +19,13 @@
   return aInfo.model == aTarget.model && aInfo.modelVersion == aTarget.version;
 }
 
+/** Returns whether the newest report is recent enough to confirm layers. */
 bool
 isFresh(const EndpointInfo& aInfo,
         const PlacementLimits& aLimits,
         TimePoint aNow)
 {
-  return aNow - aInfo.holdsReportedAt <= aLimits.maxAge;
+  return aNow - aInfo.holdsReportedAt <= aLimits.maxReportAge;
 }
 
 } // namespace
@@ -48,53 +49,54 @@
                           TimePoint aNow)
 {
   if (this->incarnation != aInfo.incarnation) {
-    // A restarted side has forgotten the number.
+    // A restarted side has lost the fencing number that it had accepted.
     *this = EndpointProgress{};
     this->incarnation = aInfo.incarnation;
     return;
   }
-  const bool heardSince = aInfo.holdsReportedAt > this->since + aLimits.settle;
-  const Duration age = aNow - this->since;
-  switch (this->at) {
+  const bool reportedSince =
+    aInfo.holdsReportedAt > this->orderUpdatedAt + aLimits.reportDelay;
+  const Duration age = aNow - this->orderUpdatedAt;
+  switch (this->orderPhase) {
     case OrderPhase::Unfenced:
     case OrderPhase::Known:
       return;
-    case OrderPhase::Announcing:
-    case OrderPhase::Ordering:
+    case OrderPhase::FencePending:
+    case OrderPhase::LoadPending:
       if (age >= aLimits.answerTimeout) {
-        this->failed(aLimits, aNow);
+        this->backOff(aLimits, aNow);
       }
       return;
-    case OrderPhase::Announced:
-      if (heardSince) {
-        this->at = OrderPhase::Known;
+    case OrderPhase::Fenced:
+      if (reportedSince) {
+        this->orderPhase = OrderPhase::Known;
       }
       return;
     case OrderPhase::Loading:
-      if (heardSince && holdsTarget(aInfo, this->target)) {
-        this->at = OrderPhase::Known;
+      if (reportedSince && holdsTarget(aInfo, this->target)) {
+        this->orderPhase = OrderPhase::Known;
       } else if (age >= aLimits.loadTimeout || !isFresh(aInfo, aLimits, aNow)) {
-        this->failed(aLimits, aNow);
+        this->backOff(aLimits, aNow);
       }
       return;
   }
 }
 
 LayerRange
-EndpointProgress::surelyHeld(const EndpointInfo& aInfo,
-                             const PlacementLimits& aLimits,
-                             TimePoint aNow) const
+EndpointProgress::confirmedHolds(const EndpointInfo& aInfo,
+                                 const PlacementLimits& aLimits,
+                                 TimePoint aNow) const
 {
   if (aInfo.draining || !isFresh(aInfo, aLimits, aNow)) {
     return {};
   }
-  switch (this->at) {
+  switch (this->orderPhase) {
     case OrderPhase::Known:
       return aInfo.holds;
-    case OrderPhase::Ordering:
+    case OrderPhase::LoadPending:
     case OrderPhase::Loading:
       return sameModel(aInfo, this->target)
-               ? intersection(aInfo.holds, this->kept)
+               ? intersection(aInfo.holds, this->keptLayers)
                : LayerRange{};
     default:
       return {};
@@ -102,43 +104,43 @@
 }
 
 void
-EndpointProgress::announce(std::uint64_t aNumber, TimePoint aNow)
+EndpointProgress::onFenceSent(std::uint64_t aFence, TimePoint aNow)
 {
-  this->at = OrderPhase::Announcing;
-  this->number = aNumber;
-  this->since = aNow;
+  this->orderPhase = OrderPhase::FencePending;
+  this->fence = aFence;
+  this->orderUpdatedAt = aNow;
 }
 
 void
-EndpointProgress::order(std::uint64_t aNumber,
-                        const EndpointInfo& aInfo,
-                        const PlannedHold& aTarget,
-                        TimePoint aNow)
+EndpointProgress::onLoadSent(std::uint64_t aFence,
+                             const EndpointInfo& aInfo,
+                             const PlannedHold& aTarget,
+                             TimePoint aNow)
 {
-  this->at = OrderPhase::Ordering;
-  this->number = aNumber;
-  this->since = aNow;
+  this->orderPhase = OrderPhase::LoadPending;
+  this->fence = aFence;
+  this->orderUpdatedAt = aNow;
   this->target = aTarget;
-  this->kept = keptWhileLoading(aInfo, aTarget);
+  this->keptLayers = keptWhileLoading(aInfo, aTarget);
 }
 
 void
-EndpointProgress::taken(TimePoint aNow)
+EndpointProgress::onAccepted(TimePoint aNow)
 {
-  if (this->at == OrderPhase::Announcing) {
-    this->at = OrderPhase::Announced;
-    this->since = aNow;
-  } else if (this->at == OrderPhase::Ordering) {
-    this->at = OrderPhase::Loading;
-    this->since = aNow;
+  if (this->orderPhase == OrderPhase::FencePending) {
+    this->orderPhase = OrderPhase::Fenced;
+    this->orderUpdatedAt = aNow;
+  } else if (this->orderPhase == OrderPhase::LoadPending) {
+    this->orderPhase = OrderPhase::Loading;
+    this->orderUpdatedAt = aNow;
   }
 }
 
 void
-EndpointProgress::failed(const PlacementLimits& aLimits, TimePoint aNow)
+EndpointProgress::backOff(const PlacementLimits& aLimits, TimePoint aNow)
 {
-  this->at = OrderPhase::Unfenced;
-  this->restUntil = aNow + aLimits.rest;
+  this->orderPhase = OrderPhase::Unfenced;
+  this->backoffUntil = aNow + aLimits.backoff;
 }
 
 } // namespace poplartrack
--- a/src/place/ModelCoverage.cpp
+++ b/src/place/ModelCoverage.cpp
@@ -5,12 +5,13 @@
 namespace poplartrack {
 namespace {
 
-/** Load at which a layer counts as not served at all; bounds the cost, so that
- * sums over layers keep their precision. */
+/** Upper bound of a layer's load (demand / rate), also used for a layer without
+ * copies. It bounds the cost so that sums over layers keep their precision. */
 constexpr double kMaxLoad = 1'000;
-/** What a layer's first copy in a zone is worth over another copy there: the
- * loss of a zone should leave a copy elsewhere. */
-constexpr double kNewZoneWorth = 1.25;
+/** Factor on the gain of a layer's first copy in a zone and on the loss of its
+ * last: copies should be spread over zones, so that the loss of one zone leaves
+ * a copy in another. */
+constexpr double kNewZoneWeight = 1.25;
 
 } // namespace
 
@@ -20,9 +21,9 @@
                              std::size_t aZones)
   : minCopies(aMinCopies)
   , demand(aDemand)
-  , missingCopies(aLayers * aMinCopies)
-  , cells(aLayers)
-  , perZone(aZones * aLayers)
+  , missingTotal(aLayers * aMinCopies)
+  , layerStates(aLayers)
+  , copiesPerZone(aZones * aLayers)
 {
 }
 
@@ -41,10 +42,10 @@
 ModelCoverage::add(const CoverPart& aPart)
 {
   for (std::uint32_t at = aPart.holds.from; at < aPart.holds.to; ++at) {
-    Cell& cell = this->cells[at];
-    this->missingCopies -= this->missingAt(cell.copies) > 0 ? 1 : 0;
-    ++cell.copies;
-    cell.rate += aPart.rate;
+    LayerState& state = this->layerStates[at];
+    this->missingTotal -= this->shortfall(state.copies) > 0 ? 1 : 0;
+    ++state.copies;
+    state.rate += aPart.rate;
     ++this->zoneCopies(aPart.zone, at);
   }
 }
@@ -53,10 +54,10 @@
 ModelCoverage::remove(const CoverPart& aPart)
 {
   for (std::uint32_t at = aPart.holds.from; at < aPart.holds.to; ++at) {
-    Cell& cell = this->cells[at];
-    --cell.copies;
-    cell.rate = cell.copies == 0 ? 0 : cell.rate - aPart.rate;
-    this->missingCopies += this->missingAt(cell.copies) > 0 ? 1 : 0;
+    LayerState& state = this->layerStates[at];
+    --state.copies;
+    state.rate = state.copies == 0 ? 0 : state.rate - aPart.rate;
+    this->missingTotal += this->shortfall(state.copies) > 0 ? 1 : 0;
     --this->zoneCopies(aPart.zone, at);
   }
 }
@@ -71,16 +72,16 @@
   std::vector<double> gains(this->layers());
   const std::uint32_t size = std::min(aSize, this->layers());
   for (std::uint32_t at = 0; at < this->layers(); ++at) {
-    const Cell& cell = this->cells[at];
+    const LayerState& state = this->layerStates[at];
     const bool newZone = this->zoneCopies(aZone, at) == 0;
-    gains[at] = (this->cost(cell.rate) - this->cost(cell.rate + aRate)) *
-                (newZone ? kNewZoneWorth : 1);
+    gains[at] = (this->cost(state.rate) - this->cost(state.rate + aRate)) *
+                (newZone ? kNewZoneWeight : 1);
     window.gain += gains[at];
-    window.missingFilled += this->missingAt(cell.copies) > 0 ? 1 : 0;
+    window.missingFilled += this->shortfall(state.copies) > 0 ? 1 : 0;
     if (at >= size) {
       window.gain -= gains[at - size];
       window.missingFilled -=
-        this->missingAt(this->cells[at - size].copies) > 0 ? 1 : 0;
+        this->shortfall(this->layerStates[at - size].copies) > 0 ? 1 : 0;
     }
     if (at + 1 < size) {
       continue;
@@ -97,24 +98,24 @@
 }
 
 double
-ModelCoverage::lossWithout(const CoverPart& aPart) const
+ModelCoverage::removalCost(const CoverPart& aPart) const
 {
   double loss = 0;
   for (std::uint32_t at = aPart.holds.from; at < aPart.holds.to; ++at) {
-    const Cell& cell = this->cells[at];
-    const double without = cell.copies == 1 ? 0 : cell.rate - aPart.rate;
+    const LayerState& state = this->layerStates[at];
+    const double rateWithout = state.copies == 1 ? 0 : state.rate - aPart.rate;
     const bool lastInZone = this->zoneCopies(aPart.zone, at) == 1;
-    loss += (this->cost(without) - this->cost(cell.rate)) *
-            (lastInZone ? kNewZoneWorth : 1);
+    loss += (this->cost(rateWithout) - this->cost(state.rate)) *
+            (lastInZone ? kNewZoneWeight : 1);
   }
   return loss;
 }
 
 bool
-ModelCoverage::hasSpare(const CoverPart& aPart) const
+ModelCoverage::hasSpareCopies(const CoverPart& aPart) const
 {
   for (std::uint32_t at = aPart.holds.from; at < aPart.holds.to; ++at) {
-    if (this->cells[at].copies <= this->minCopies) {
+    if (this->layerStates[at].copies <= this->minCopies) {
       return false;
     }
   }
--- a/src/place/PlacementPlanner.cpp
+++ b/src/place/PlacementPlanner.cpp
@@ -1,17 +1,17 @@
 #include "poplartrack/place/PlacementPlanner.h"
 
-#include "PlacementDraft.h"
+#include "PlacementBuilder.h"
 
 namespace poplartrack {
 
 PlacementPlan
 planPlacement(const PlacementInput& aInput, const PlacementPolicy& aPolicy)
 {
-  PlacementDraft draft{ aInput, aPolicy };
-  draft.fillEmpty();
-  draft.fillMissing();
-  draft.balance();
-  return draft.plan();
+  PlacementBuilder builder{ aInput, aPolicy };
+  builder.fillEmpty();
+  builder.fillMissing();
+  builder.balance();
+  return builder.plan();
 }
 
 } // namespace poplartrack
--- a/src/place/PlacementStep.cpp
+++ b/src/place/PlacementStep.cpp
@@ -10,31 +10,34 @@
 namespace poplartrack {
 namespace {
 
-/** Copies left of a layer that nobody needs any more. */
-constexpr std::uint32_t kPlenty = std::numeric_limits<std::uint32_t>::max();
+/** Result of copiesLeft() when no dropped layer is needed any more. */
+constexpr std::uint32_t kNotNeeded = std::numeric_limits<std::uint32_t>::max();
 
-/** Fewest copies that other endpoints have of a layer that the load drops. */
+/** Returns how many copies other endpoints have of the layers that a load
+ * drops, for the layer with the fewest. Layers of a removed model are not
+ * needed, nor are those of an old version once the configured version covers
+ * all layers. */
 std::uint32_t
 copiesLeft(const Configuration& aConfiguration,
-           const CoverCount& aCover,
+           const CopyCount& aCopies,
            const EndpointInfo& aInfo,
            const LayerRange& aKept)
 {
   const auto model = aConfiguration.models.find(aInfo.model);
   if (model == aConfiguration.models.end()) {
-    return kPlenty;
+    return kNotNeeded;
   }
   const ModelSpec& spec = model->second;
   if (aInfo.modelVersion != spec.version &&
-      aCover.whole(aInfo.model, spec.version, spec.layers)) {
-    return kPlenty;
+      aCopies.coversAll(aInfo.model, spec.version, spec.layers)) {
+    return kNotNeeded;
   }
-  std::uint32_t fewest = kPlenty;
+  std::uint32_t fewest = kNotNeeded;
   for (std::uint32_t at = aInfo.holds.from; at < aInfo.holds.to; ++at) {
     const bool dropped = at < aKept.from || at >= aKept.to;
     if (dropped) {
       const std::uint32_t all =
-        aCover.copies(aInfo.model, aInfo.modelVersion, at);
+        aCopies.copies(aInfo.model, aInfo.modelVersion, at);
       fewest = std::min(fewest, all - 1);
     }
   }
@@ -63,10 +66,10 @@
 }
 
 std::uint32_t
-PlacementStep::inPhase(OrderPhase aPhase) const
+PlacementStep::countInPhase(OrderPhase aPhase) const
 {
   return static_cast<std::uint32_t>(std::count_if(
-    this->states.begin(), this->states.end(), [&](const auto& aEntry) {
+    this->progress.begin(), this->progress.end(), [&](const auto& aEntry) {
       return aEntry.second.phase() == aPhase;
     }));
 }
@@ -74,85 +77,86 @@
 std::uint32_t
 PlacementStep::loading() const
 {
-  return this->inPhase(OrderPhase::Ordering) +
-         this->inPhase(OrderPhase::Loading);
+  return this->countInPhase(OrderPhase::LoadPending) +
+         this->countInPhase(OrderPhase::Loading);
 }
 
 PlacementOrder
-PlacementStep::orderFor(const EndpointInfo& aInfo, EndpointOrder aOrder)
+PlacementStep::makeOrder(const EndpointInfo& aInfo, EndpointOrder aOrder)
 {
   ++this->lastOrder;
-  // Out of numbers: the next lease has new ones.
-  this->stale = this->stale || this->lastOrder + 1 >= kMaxOrdersPerLease;
+  // When the order numbers are used up, the next lease starts with new ones.
+  this->stopped = this->stopped || this->lastOrder + 1 >= kMaxOrdersPerLease;
   aOrder.fence = orderFence(this->leaseFence, this->lastOrder);
   return { aInfo.name, aInfo.address, std::move(aOrder) };
 }
 
 void
-PlacementStep::observe(const std::vector<EndpointInfo>& aView, TimePoint aNow)
+PlacementStep::updateView(const std::vector<EndpointInfo>& aView,
+                          TimePoint aNow)
 {
-  this->cover = CoverCount{};
+  this->confirmedCopies = CopyCount{};
   std::set<std::string> seen;
   for (const EndpointInfo& info : aView) {
     if (!isEngine(info)) {
       continue;
     }
-    EndpointProgress& state = this->states[info.name];
+    EndpointProgress& state = this->progress[info.name];
     state.observe(info, this->limits, aNow);
-    this->cover.add(info.model,
-                    info.modelVersion,
-                    state.surelyHeld(info, this->limits, aNow));
+    this->confirmedCopies.add(info.model,
+                              info.modelVersion,
+                              state.confirmedHolds(info, this->limits, aNow));
     seen.insert(info.name);
   }
-  std::erase_if(this->states, [&](const auto& aEntry) {
+  std::erase_if(this->progress, [&](const auto& aEntry) {
     return !seen.contains(aEntry.first);
   });
 }
 
 void
-PlacementStep::announce(const std::vector<EndpointInfo>& aView,
-                        TimePoint aNow,
-                        std::vector<PlacementOrder>& aOrders)
+PlacementStep::addFenceOrders(const std::vector<EndpointInfo>& aView,
+                              TimePoint aNow,
+                              std::vector<PlacementOrder>& aOrders)
 {
-  std::uint32_t announcing = this->inPhase(OrderPhase::Announcing);
+  std::uint32_t pending = this->countInPhase(OrderPhase::FencePending);
   for (const EndpointInfo& info : aView) {
     if (!isEngine(info) || info.draining) {
       continue;
     }
-    if (announcing >= this->limits.maxPendingFences) {
+    if (pending >= this->limits.maxPendingFences) {
       return;
     }
-    EndpointProgress& state = this->states[info.name];
-    if (state.phase() != OrderPhase::Unfenced || !state.rested(aNow)) {
+    EndpointProgress& state = this->progress[info.name];
+    if (state.phase() != OrderPhase::Unfenced || !state.backoffOver(aNow)) {
       continue;
     }
     EndpointOrder order;
     order.order = OrderKind::Stay;
-    aOrders.push_back(this->orderFor(info, std::move(order)));
-    state.announce(aOrders.back().order.fence, aNow);
-    ++announcing;
+    aOrders.push_back(this->makeOrder(info, std::move(order)));
+    state.onFenceSent(aOrders.back().order.fence, aNow);
+    ++pending;
   }
 }
 
-std::vector<PlacementStep::Wish>
-PlacementStep::wishes(const PlacementPlan& aPlan,
-                      const std::vector<EndpointInfo>& aView,
-                      TimePoint aNow) const
+std::vector<PlacementStep::PendingLoad>
+PlacementStep::pendingLoads(const PlacementPlan& aPlan,
+                            const std::vector<EndpointInfo>& aView,
+                            TimePoint aNow) const
 {
   std::map<std::string, const EndpointInfo*> known;
   for (const EndpointInfo& info : aView) {
-    const auto state = this->states.find(info.name);
-    if (state == this->states.end() || info.draining ||
+    const auto state = this->progress.find(info.name);
+    if (state == this->progress.end() || info.draining ||
         state->second.phase() != OrderPhase::Known) {
       continue;
     }
-    const bool counted =
-      state->second.surelyHeld(info, this->limits, aNow) == info.holds;
-    if (counted) {
+    const bool holdsAllConfirmed =
+      state->second.confirmedHolds(info, this->limits, aNow) == info.holds;
+    if (holdsAllConfirmed) {
       known[info.name] = &info;
     }
   }
-  std::vector<Wish> list;
+  std::vector<PendingLoad> list;
   for (const PlannedHold& target : aPlan.holds) {
     const auto found = known.find(target.endpoint);
     if (found != known.end() && !holdsTarget(*found->second, target)) {
@@ -163,29 +167,32 @@
 }
 
 void
-PlacementStep::orderLoads(const Configuration& aConfiguration,
-                          std::vector<Wish> aWishes,
-                          TimePoint aNow,
-                          std::vector<PlacementOrder>& aOrders)
+PlacementStep::addLoadOrders(const Configuration& aConfiguration,
+                             std::vector<PendingLoad> aLoads,
+                             TimePoint aNow,
+                             std::vector<PlacementOrder>& aOrders)
 {
-  const auto measure = [&] {
-    for (Wish& wish : aWishes) {
-      const LayerRange kept = keptWhileLoading(*wish.info, *wish.target);
-      wish.left = copiesLeft(aConfiguration, this->cover, *wish.info, kept);
+  const auto updateCopiesLeft = [&] {
+    for (PendingLoad& load : aLoads) {
+      const LayerRange kept = keptWhileLoading(*load.info, *load.target);
+      load.copiesLeft =
+        copiesLeft(aConfiguration, this->confirmedCopies, *load.info, kept);
     }
   };
-  measure();
-  while (!aWishes.empty() && this->loading() < this->limits.maxLoads) {
+  updateCopiesLeft();
+  while (!aLoads.empty() && this->loading() < this->limits.maxLoads) {
     const auto best =
-      std::max_element(aWishes.begin(),
-                       aWishes.end(),
-                       [](const Wish& aLeft, const Wish& aRight) {
-                         return aLeft.left < aRight.left;
+      std::max_element(aLoads.begin(),
+                       aLoads.end(),
+                       [](const PendingLoad& aLeft, const PendingLoad& aRight) {
+                         return aLeft.copiesLeft < aRight.copiesLeft;
                        });
     const EndpointInfo& info = *best->info;
-    const std::uint32_t wanted = minCopiesOf(aConfiguration, info.model);
-    // Below minCopies only when no other load may still bring a copy.
-    if (best->left == 0 || (best->left<wanted&& this->loading()> 0)) {
+    const std::uint32_t minCopies = minCopiesOf(aConfiguration, info.model);
+    // A load that leaves fewer than minCopies starts only when no running load
+    // may still add a copy.
+    if (best->copiesLeft == 0 ||
+        (best->copiesLeft<minCopies&& this->loading()> 0)) {
       break;
     }
     const PlannedHold& target = *best->target;
@@ -194,18 +201,18 @@
     order.model = target.model;
     order.modelVersion = target.version;
     order.holds = target.holds;
-    aOrders.push_back(this->orderFor(info, std::move(order)));
-    this->states[info.name].order(
+    aOrders.push_back(this->makeOrder(info, std::move(order)));
+    this->progress[info.name].onLoadSent(
       aOrders.back().order.fence, info, target, aNow);
-    this->cover.remove(info.model, info.modelVersion, info.holds);
-    this->cover.add(
+    this->confirmedCopies.remove(info.model, info.modelVersion, info.holds);
+    this->confirmedCopies.add(
       info.model, info.modelVersion, keptWhileLoading(info, target));
-    aWishes.erase(best);
-    measure();
+    aLoads.erase(best);
+    updateCopiesLeft();
   }
   this->blockedCount = static_cast<std::uint32_t>(
-    std::count_if(aWishes.begin(), aWishes.end(), [](const Wish& aWish) {
-      return aWish.left == 0;
+    std::count_if(aLoads.begin(), aLoads.end(), [](const PendingLoad& aLoad) {
+      return aLoad.copiesLeft == 0;
     }));
 }
 
@@ -216,22 +223,23 @@
                     TimePoint aNow)
 {
   std::vector<PlacementOrder> orders;
-  if (this->stale) {
+  if (this->stopped) {
     return orders;
   }
-  this->observe(aView, aNow);
-  this->announce(aView, aNow, orders);
-  this->orderLoads(
-    aConfiguration, this->wishes(aPlan, aView, aNow), aNow, orders);
+  this->updateView(aView, aNow);
+  this->addFenceOrders(aView, aNow, orders);
+  this->addLoadOrders(
+    aConfiguration, this->pendingLoads(aPlan, aView, aNow), aNow, orders);
   return orders;
 }
 
 void
 PlacementStep::onTaken(const PlacementOrder& aOrder, TimePoint aNow)
 {
-  const auto found = this->states.find(aOrder.endpoint);
-  if (found != this->states.end() && found->second.awaits(aOrder.order.fence)) {
-    found->second.taken(aNow);
+  const auto found = this->progress.find(aOrder.endpoint);
+  if (found != this->progress.end() &&
+      found->second.isNewestOrder(aOrder.order.fence)) {
+    found->second.onAccepted(aNow);
   }
 }
 
@@ -240,16 +248,16 @@
                          const Error& aError,
                          TimePoint aNow)
 {
-  const auto found = this->states.find(aOrder.endpoint);
-  if (found == this->states.end() ||
-      !found->second.awaits(aOrder.order.fence)) {
+  const auto found = this->progress.find(aOrder.endpoint);
+  if (found == this->progress.end() ||
+      !found->second.isNewestOrder(aOrder.order.fence)) {
     return;
   }
   if (aError.kind == ErrorKind::StaleFence) {
-    this->stale = true;
+    this->stopped = true;
     return;
   }
-  found->second.failed(this->limits, aNow);
+  found->second.backOff(this->limits, aNow);
 }
 
 } // namespace poplartrack
--- a/tests/unit/place/PlacementPlannerTest.cpp
+++ b/tests/unit/place/PlacementPlannerTest.cpp
@@ -9,7 +9,7 @@
 namespace poplartrack {
 namespace {
 
-/** A region whose endpoints hold what the last plan said. */
+/** A region whose endpoints hold the layers of the last executed plan. */
 class Region
 {
 public:
@@ -44,7 +44,8 @@
                          PlacementPolicy{});
   }
 
-  void carryOut(const PlacementPlan& aPlan)
+  /** Sets what the endpoints hold to the plan. */
+  void execute(const PlacementPlan& aPlan)
   {
     for (const PlannedHold& hold : aPlan.holds) {
       for (PlacementEndpoint& endpoint : this->endpoints) {
@@ -57,12 +58,13 @@
     }
   }
 
-  /** Plans until nothing moves; gives the number of plans. */
-  int settle()
+  /** Plans and executes until a plan moves no endpoint. Returns the number of
+   * plans before that one, or -1 if 100 plans do not suffice. */
+  int planUntilStable()
   {
     for (int i = 0; i < 100; ++i) {
       const PlacementPlan next = this->plan();
-      this->carryOut(next);
+      this->execute(next);
       if (next.moves == 0) {
         return i;
       }
@@ -80,18 +82,20 @@
     return count;
   }
 
-  [[nodiscard]] std::size_t zones(const std::string& aModel,
-                                  std::uint32_t aLayer) const
+  /** Returns the number of zones that have a copy of the layer. */
+  [[nodiscard]] std::size_t zoneCount(const std::string& aModel,
+                                      std::uint32_t aLayer) const
   {
-    std::set<std::string> named;
+    std::set<std::string> zones;
     for (const PlacementEndpoint& endpoint : this->endpoints) {
       if (this->covers(endpoint, aModel, aLayer)) {
-        named.insert(endpoint.info.zone);
+        zones.insert(endpoint.info.zone);
       }
     }
-    return named.size();
+    return zones.size();
   }
 
+  /** Returns the speed of all endpoints of the model together. */
   [[nodiscard]] double speedOf(const std::string& aModel) const
   {
     double speed = 0;
@@ -115,9 +119,10 @@
   }
 };
 
-constexpr std::uint32_t kLeastCapacity = 4;
+/** Smallest capacity of a random endpoint, in layers. */
+constexpr std::uint32_t kMinCapacity = 4;
 
-/** Forty endpoints of four kinds, two models. */
+/** Forty endpoints of four capacities and speeds, and two models. */
 Region
 mixedRegion()
 {
@@ -130,25 +135,27 @@
   return region;
 }
 
-RC_GTEST_PROP(PlacementPlanner, coversAllAndSettlesWhereMemoryIsAmple, ())
+RC_GTEST_PROP(PlacementPlanner,
+              coversAllLayersAndBecomesStableWithAmpleMemory,
+              ())
 {
   Region region;
   const int models = *rc::gen::inRange(1, 5);
-  std::uint32_t needed = 0; // endpoints of the least capacity
+  std::uint32_t enginesNeeded = 0; // endpoints of kMinCapacity
   for (int i = 0; i < models; ++i) {
     const auto layers = *rc::gen::inRange<std::uint32_t>(1, 40);
     const auto copies = *rc::gen::inRange<std::uint32_t>(1, 4);
     region.addModel(
       "model-" + std::to_string(i), layers, copies, *rc::gen::inRange(0, 100));
-    needed += (layers + kLeastCapacity - 1) / kLeastCapacity * copies;
+    enginesNeeded += (layers + kMinCapacity - 1) / kMinCapacity * copies;
   }
-  // Half as many again: an endpoint holds one model, and windows overlap where
-  // sizes do not divide.
-  for (std::uint32_t i = 0; i < needed + needed / 2; ++i) {
-    region.addEndpoint(*rc::gen::inRange(kLeastCapacity, 16U),
+  // Half as many again are needed: an endpoint holds only one model, and ranges
+  // overlap where the capacity does not divide the number of layers.
+  for (std::uint32_t i = 0; i < enginesNeeded + enginesNeeded / 2; ++i) {
+    region.addEndpoint(*rc::gen::inRange(kMinCapacity, 16U),
                        *rc::gen::inRange(1, 9));
   }
-  RC_ASSERT(region.settle() >= 0);
+  RC_ASSERT(region.planUntilStable() >= 0);
   RC_ASSERT(region.plan().shortModels.empty());
   for (const auto& [name, model] : region.configuration.models) {
     for (std::uint32_t layer = 0; layer < model.layers; ++layer) {
@@ -160,21 +167,21 @@
 TEST(PlacementPlanner, speedFollowsDemandAndCopiesSpreadOverZones)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
-  // Work is demand times layers: 9600 to 2400.
+  ASSERT_GE(region.planUntilStable(), 0);
+  // Work is demand times layers: 9600 and 2400.
   const double share =
     region.speedOf("pairing-llm") /
     (region.speedOf("pairing-llm") + region.speedOf("msaidizi"));
   EXPECT_NEAR(share, 0.8, 0.05);
   for (std::uint32_t layer = 0; layer < 24; ++layer) {
-    EXPECT_GE(region.zones("msaidizi", layer), 2) << layer;
+    EXPECT_GE(region.zoneCount("msaidizi", layer), 2) << layer;
   }
 }
 
-TEST(PlacementPlanner, theLossOfOneEndpointMovesFewOthers)
+TEST(PlacementPlanner, losingOneEndpointMovesFewOthers)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   for (std::size_t lost = 0; lost < region.endpoints.size(); ++lost) {
     Region smaller = region;
     smaller.endpoints.erase(smaller.endpoints.begin() +
@@ -184,45 +191,45 @@
   }
 }
 
-TEST(PlacementPlanner, demandThatWaversMovesNothing)
+TEST(PlacementPlanner, smallDemandChangesMoveNothing)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   region.demand["msaidizi"] *= 1.1;
   EXPECT_EQ(region.plan().moves, 0);
   region.demand["msaidizi"] *= 0.8;
   EXPECT_EQ(region.plan().moves, 0);
 }
 
-TEST(PlacementPlanner, aSurgeMovesAFewEndpointsAtATime)
+TEST(PlacementPlanner, aDemandSurgeMovesAFewEndpointsPerPlan)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   const double before = region.speedOf("msaidizi");
   region.demand["msaidizi"] *= 10;
   EXPECT_GT(region.plan().moves, 0);
   EXPECT_LE(region.plan().moves, PlacementPolicy{}.maxBalanceMoves);
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   EXPECT_GT(region.speedOf("msaidizi"), 1.5 * before);
 }
 
-TEST(PlacementPlanner, aLeavingEndpointIsNoCover)
+TEST(PlacementPlanner, aDrainingEndpointIsNotCounted)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   for (std::size_t i = 0; i < 10; ++i) {
     region.endpoints[i].info.draining = true;
   }
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   for (std::uint32_t layer = 0; layer < 32; ++layer) {
     EXPECT_GE(region.copies("pairing-llm", layer), 2) << layer;
   }
 }
 
-TEST(PlacementPlanner, aNewVersionKeepsEveryRange)
+TEST(PlacementPlanner, aNewVersionKeepsAllRanges)
 {
   Region region = mixedRegion();
-  ASSERT_GE(region.settle(), 0);
+  ASSERT_GE(region.planUntilStable(), 0);
   region.configuration.models["msaidizi"].version = "v2";
   const PlacementPlan plan = region.plan();
   EXPECT_EQ(plan.moves, 0);
@@ -231,14 +238,14 @@
   }
 }
 
-TEST(PlacementPlanner, aModelThatDoesNotFitIsNamed)
+TEST(PlacementPlanner, aModelThatDoesNotFitIsReported)
 {
   Region region;
   region.addModel("large", 40, 2, 1);
   for (int i = 0; i < 7; ++i) {
     region.addEndpoint(10, 1);
   }
-  region.settle();
+  region.planUntilStable();
   EXPECT_EQ(region.plan().shortModels, std::vector<std::string>{ "large" });
 }
 
--- a/tests/unit/place/PlacementStepTest.cpp
+++ b/tests/unit/place/PlacementStepTest.cpp
@@ -14,6 +14,7 @@
 using std::chrono::seconds;
 
 constexpr std::uint32_t kLayers = 8;
+/** Layers that each engine holds. */
 constexpr std::uint32_t kHeld = 4;
 
 Configuration
@@ -50,7 +51,8 @@
   return { aInfo.name, aModel, "v1", { aFrom, aFrom + kHeld } };
 }
 
-/** Everything heard, answered and loaded at once, one second a round. */
+/** Advances one second per round; in each round all loads finish, the newest
+ * placer's view is updated and all its orders are delivered and answered. */
 void
 run(World& aWorld, int aRounds)
 {
@@ -59,19 +61,19 @@
     aWorld.clock.advance(seconds{ 1 });
     for (std::size_t at = 0; at < aWorld.engines(); ++at) {
       aWorld.finishLoad(at);
-      aWorld.hear(newest, at);
+      aWorld.refreshView(newest, at);
     }
-    aWorld.act(newest);
-    while (aWorld.flights() > 0) {
-      aWorld.land(0, true);
+    aWorld.sendOrders(newest);
+    while (aWorld.ordersInFlight() > 0) {
+      aWorld.deliver(0, true);
     }
   }
 }
 
 // The only holder of layers 0-3 is to hold 4-7 instead, and an empty endpoint
-// is to take its place. Ordered in the wrong sequence, or both at once, no
-// request could be served until the new copy has loaded.
-TEST(PlacementStep, theLastCoverMovesOnlyWhenItsReplacementHasLoaded)
+// is to load 0-3. If both loads were ordered at once, or in the wrong order, no
+// request could be served until the new copy had loaded.
+TEST(PlacementStep, theLastCopyMovesOnlyAfterItsReplacementHasLoaded)
 {
   EndpointInfo empty = engineOf(2, "", 0);
   empty.holds = {};
@@ -82,15 +84,16 @@
   world.takeOver(plan);
   run(world, 4);
   EXPECT_EQ(world.newest().step.loading(), 1);
-  EXPECT_EQ(world.engine(0).truth.holds, (LayerRange{ 0, 4 }));
+  EXPECT_EQ(world.engine(0).actual.holds, (LayerRange{ 0, 4 }));
   run(world, 8);
-  EXPECT_TRUE(world.settled());
+  EXPECT_TRUE(world.planCompleted());
   EXPECT_EQ(world.uncovered(), 0);
 }
 
-// Two endpoints hold each other's wanted layers and nobody else holds any. No
-// order is safe: none goes out, and the count says why.
-TEST(PlacementStep, twoLastCoversThatWouldSwapAreBlocked)
+// Each of two endpoints holds the layers planned for the other, and there are
+// no further copies. No load is safe: none is ordered, and blocked() counts
+// both.
+TEST(PlacementStep, swappingTwoLastCopiesIsBlocked)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 4) };
@@ -100,10 +103,10 @@
   world.takeOver(plan);
   run(world, 10);
   EXPECT_EQ(world.newest().step.blocked(), 2);
-  EXPECT_EQ(world.engine(0).truth.holds, (LayerRange{ 0, 4 }));
+  EXPECT_EQ(world.engine(0).actual.holds, (LayerRange{ 0, 4 }));
 }
 
-TEST(PlacementStep, loadsAtATimeAreBounded)
+TEST(PlacementStep, concurrentLoadsAreLimited)
 {
   std::vector<EndpointInfo> engines;
   PlacementPlan plan;
@@ -119,12 +122,13 @@
     EXPECT_LE(world.newest().step.loading(), PlacementLimits{}.maxLoads);
   }
   run(world, 40);
-  EXPECT_TRUE(world.settled());
+  EXPECT_TRUE(world.planCompleted());
 }
 
-// A holder was frozen past its lease and orders with its old number. The side
-// has seen the new one and refuses; from then on the old holder is silent.
-TEST(PlacementStep, aFormerHolderIsDeposedByTheFirstRefusal)
+// A lease holder was suspended until after its lease had expired and then sends
+// an order with its old fencing number. The side has seen the new number and
+// refuses; after this the old holder sends no further orders.
+TEST(PlacementStep, aFormerLeaseHolderStopsAfterTheFirstRefusal)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 0) };
@@ -132,19 +136,20 @@
   world.takeOver({});
   world.takeOver({});
   run(world, 3);
-  world.act(0);
-  ASSERT_GT(world.flights(), 0);
-  world.land(0, true);
+  world.sendOrders(0);
+  ASSERT_GT(world.ordersInFlight(), 0);
+  world.deliver(0, true);
   world.clock.advance(seconds{ 60 });
-  const std::size_t before = world.flights();
-  world.act(0);
-  EXPECT_EQ(world.flights(), before);
+  const std::size_t before = world.ordersInFlight();
+  world.sendOrders(0);
+  EXPECT_EQ(world.ordersInFlight(), before);
 }
 
-// An order of the last lease holder is still on its way when the next holder
+// An order of the previous lease holder is still in flight when the next holder
 // wants to count the same endpoint as cover and move the other one. Until the
-// endpoint has taken the new number, the old order would take the last copy.
-TEST(PlacementStep, anEndpointThatAnOldOrderMayReachIsNoCover)
+// endpoint has accepted the new fencing number, the old order could drop the
+// last copy.
+TEST(PlacementStep, anEndpointThatAnOldOrderMayReachIsNotCounted)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 0) };
@@ -154,37 +159,37 @@
   world.takeOver(first);
   run(world, 2);
   world.clock.advance(seconds{ 1 });
-  world.hear(0, 0);
-  world.hear(0, 1);
-  world.act(0);
-  ASSERT_EQ(world.flights(), 1);
+  world.refreshView(0, 0);
+  world.refreshView(0, 1);
+  world.sendOrders(0);
+  ASSERT_EQ(world.ordersInFlight(), 1);
   PlacementPlan second;
   second.holds = { holdOf(engines[1], "toy", 4) };
   world.takeOver(second);
-  // What the new holder tells the other endpoint arrives; the one that the old
-  // order goes to cannot be reached.
+  // Orders of the new holder reach only the other endpoint; the one that the
+  // old order is for is unreachable.
   for (int i = 0; i < 8; ++i) {
     world.clock.advance(seconds{ 1 });
-    world.hear(1, 0);
-    world.hear(1, 1);
-    world.act(1);
-    while (world.flights() > 1) {
-      if (world.flightTo(1) == engines[0].name) {
+    world.refreshView(1, 0);
+    world.refreshView(1, 1);
+    world.sendOrders(1);
+    while (world.ordersInFlight() > 1) {
+      if (world.destination(1) == engines[0].name) {
         world.drop(1);
       } else {
-        world.land(1, true);
+        world.deliver(1, true);
       }
     }
   }
   EXPECT_EQ(world.newest().step.blocked(), 1);
-  world.land(0, true);
+  world.deliver(0, true);
   EXPECT_EQ(world.uncovered(), 0);
 }
 
-// An order gets no answer and arrives only after the same holder has changed
-// its mind and moved the other endpoint. Its number is lower than that of the
-// announcement in between: it is refused.
-TEST(PlacementStep, anEarlierOrderOfTheSameHolderIsShutOut)
+// An order gets no answer and is delivered only after the same holder has a new
+// plan and has moved the other endpoint. Its fencing number is lower than that
+// of the fencing order sent in between, so it is refused.
+TEST(PlacementStep, aDelayedOrderOfTheSameHolderIsRefused)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 0) };
@@ -194,29 +199,29 @@
   world.takeOver(first);
   run(world, 2);
   world.clock.advance(seconds{ 1 });
-  world.hear(0, 0);
-  world.hear(0, 1);
-  world.act(0);
-  ASSERT_EQ(world.flights(), 1);
+  world.refreshView(0, 0);
+  world.refreshView(0, 1);
+  world.sendOrders(0);
+  ASSERT_EQ(world.ordersInFlight(), 1);
   world.newest().plan.holds = { holdOf(engines[1], "toy", 4) };
   for (int i = 0; i < 30; ++i) {
     world.clock.advance(seconds{ 1 });
-    world.hear(0, 0);
-    world.hear(0, 1);
-    world.act(0);
-    while (world.flights() > 1) {
-      world.land(1, true);
+    world.refreshView(0, 0);
+    world.refreshView(0, 1);
+    world.sendOrders(0);
+    while (world.ordersInFlight() > 1) {
+      world.deliver(1, true);
     }
   }
   EXPECT_EQ(world.newest().step.loading(), 1);
-  world.land(0, true);
+  world.deliver(0, true);
   EXPECT_EQ(world.uncovered(), 0);
 }
 
-// A side is replaced and has forgotten the number that it had taken. What it
-// shows may be taken away by an older order, so it is no cover until it has
-// taken the number again.
-TEST(PlacementStep, aReplacedSideIsNoCoverUntilItHasTakenTheNumberAgain)
+// A side is replaced and has lost the fencing number that it had accepted. An
+// older order could drop the layers that it reports, so they are not counted
+// until it has accepted the number again.
+TEST(PlacementStep, aReplacedSideIsNotCountedUntilItHasAcceptedTheNumberAgain)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 0) };
@@ -229,12 +234,12 @@
   EXPECT_EQ(world.newest().step.loading(), 0);
   EXPECT_EQ(world.newest().step.blocked(), 1);
   run(world, 4);
-  EXPECT_TRUE(world.settled());
+  EXPECT_TRUE(world.planCompleted());
 }
 
-// A new version replaces the old one copy by copy: the old one stays whole
-// until the new one is.
-TEST(PlacementStep, aNewVersionIsWholeBeforeTheOldOneGoes)
+// A new version replaces the old one copy by copy: the old version keeps copies
+// of all layers until the new one has them.
+TEST(PlacementStep, aNewVersionIsCompleteBeforeTheOldOneIsDropped)
 {
   const std::vector<EndpointInfo> engines{ engineOf(1, "toy", 0),
                                            engineOf(2, "toy", 4),
@@ -250,51 +255,58 @@
   world.takeOver(plan);
   for (int i = 0; i < 20; ++i) {
     run(world, 1);
-    EXPECT_TRUE(world.whole("v1", kLayers) || world.whole("v2", kLayers)) << i;
+    EXPECT_TRUE(world.coversAll("v1", kLayers) ||
+                world.coversAll("v2", kLayers))
+      << i;
   }
-  EXPECT_TRUE(world.settled());
+  EXPECT_TRUE(world.planCompleted());
 }
 
-enum class Act : std::uint8_t
+/** What can happen next in a random run. */
+enum class Action : std::uint8_t
 {
   Advance,
-  Hear,
-  Order,
-  Land,
-  LandUnanswered,
+  RefreshView,
+  SendOrders,
+  Deliver,
+  DeliverUnanswered,
   Drop,
   FinishLoad,
   Restart,
   TakeOver,
 };
 
-struct Move
+/** One step of a random run. */
+struct Step
 {
-  Act act = Act::Advance;
+  Action action = Action::Advance;
+  /** Random numbers that select the engine, order, placer, time or plan. */
   std::size_t first = 0;
   std::size_t second = 0;
 };
 
-rc::Gen<std::vector<Move>>
-moves()
+rc::Gen<std::vector<Step>>
+steps()
 {
-  const auto move = rc::gen::build<Move>(
-    rc::gen::set(&Move::act,
-                 rc::gen::weightedElement<Act>({ { 4, Act::Advance },
-                                                 { 12, Act::Hear },
-                                                 { 4, Act::Order },
-                                                 { 8, Act::Land },
-                                                 { 2, Act::LandUnanswered },
-                                                 { 1, Act::Drop },
-                                                 { 3, Act::FinishLoad },
-                                                 { 1, Act::Restart },
-                                                 { 1, Act::TakeOver } })),
-    rc::gen::set(&Move::first, rc::gen::inRange<std::size_t>(0, 1'000)),
-    rc::gen::set(&Move::second, rc::gen::inRange<std::size_t>(0, 1'000)));
-  return rc::gen::scale(6, rc::gen::container<std::vector<Move>>(move));
+  const auto step = rc::gen::build<Step>(
+    rc::gen::set(
+      &Step::action,
+      rc::gen::weightedElement<Action>({ { 4, Action::Advance },
+                                         { 12, Action::RefreshView },
+                                         { 4, Action::SendOrders },
+                                         { 8, Action::Deliver },
+                                         { 2, Action::DeliverUnanswered },
+                                         { 1, Action::Drop },
+                                         { 3, Action::FinishLoad },
+                                         { 1, Action::Restart },
+                                         { 1, Action::TakeOver } })),
+    rc::gen::set(&Step::first, rc::gen::inRange<std::size_t>(0, 1'000)),
+    rc::gen::set(&Step::second, rc::gen::inRange<std::size_t>(0, 1'000)));
+  return rc::gen::scale(6, rc::gen::container<std::vector<Step>>(step));
 }
 
-/** Each engine is to hold something of either model. */
+/** Returns a random plan in which each engine holds layers of one of the two
+ * models. */
 PlacementPlan
 planFrom(const std::vector<EndpointInfo>& aEngines, std::size_t aSeed)
 {
@@ -310,50 +322,51 @@
 
 void
 apply(World& aWorld,
-      const Move& aMove,
+      const Step& aStep,
       const std::vector<EndpointInfo>& aEngines)
 {
-  const std::size_t engine = aMove.first % aWorld.engines();
-  const std::size_t placer = aMove.second % aWorld.placers();
-  const bool flies = aWorld.flights() > 0;
-  switch (aMove.act) {
-    case Act::Advance:
-      aWorld.clock.advance(milliseconds{ 100 + aMove.first * 3 });
+  const std::size_t engine = aStep.first % aWorld.engines();
+  const std::size_t placer = aStep.second % aWorld.placers();
+  const bool anyInFlight = aWorld.ordersInFlight() > 0;
+  switch (aStep.action) {
+    case Action::Advance:
+      aWorld.clock.advance(milliseconds{ 100 + aStep.first * 3 });
       return;
-    case Act::Hear:
-      aWorld.hear(placer, engine);
+    case Action::RefreshView:
+      aWorld.refreshView(placer, engine);
       return;
-    case Act::Order:
-      aWorld.act(placer);
+    case Action::SendOrders:
+      aWorld.sendOrders(placer);
       return;
-    case Act::Land:
-    case Act::LandUnanswered:
-      if (flies) {
-        aWorld.land(aMove.first % aWorld.flights(), aMove.act == Act::Land);
+    case Action::Deliver:
+    case Action::DeliverUnanswered:
+      if (anyInFlight) {
+        aWorld.deliver(aStep.first % aWorld.ordersInFlight(),
+                       aStep.action == Action::Deliver);
       }
       return;
-    case Act::Drop:
-      if (flies) {
-        aWorld.drop(aMove.first % aWorld.flights());
+    case Action::Drop:
+      if (anyInFlight) {
+        aWorld.drop(aStep.first % aWorld.ordersInFlight());
       }
       return;
-    case Act::FinishLoad:
+    case Action::FinishLoad:
       aWorld.finishLoad(engine);
       return;
-    case Act::Restart:
+    case Action::Restart:
       aWorld.restart(engine);
       return;
-    case Act::TakeOver:
-      aWorld.takeOver(planFrom(aEngines, aMove.first));
+    case Action::TakeOver:
+      aWorld.takeOver(planFrom(aEngines, aStep.first));
       return;
   }
 }
 
-// Orders arrive late, twice out of turn or not at all, answers are lost, sides
-// are replaced, and former lease holders with other plans wake and order. No
-// order that takes effect may leave a layer without cover; and when all is
-// quiet the newest plan is carried out, but for what is blocked.
-RC_GTEST_PROP(PlacementStep, noOrderTakesTheLastCoverAndPlansAreCarriedOut, ())
+// Orders arrive late, out of order or not at all, answers are lost, sides are
+// replaced, and former lease holders with other plans resume and send orders.
+// No order that takes effect may leave a layer without a copy. Once the faults
+// stop, the newest plan is executed, except for loads that are blocked.
+RC_GTEST_PROP(PlacementStep, noOrderDropsTheLastCopyAndPlansAreExecuted, ())
 {
   const int copies = *rc::gen::inRange(1, 5);
   std::vector<EndpointInfo> engines;
@@ -369,13 +382,13 @@
   const auto minCopies = *rc::gen::inRange<std::uint32_t>(1, 3);
   World world{ configurationOf(minCopies), engines };
   world.takeOver(planFrom(engines, 1));
-  for (const Move& move : *moves()) {
-    apply(world, move, engines);
+  for (const Step& step : *steps()) {
+    apply(world, step, engines);
     RC_ASSERT(world.uncovered() == 0);
   }
   run(world, 120);
   RC_ASSERT(world.uncovered() == 0);
-  RC_ASSERT(world.settled() || world.newest().step.blocked() > 0);
+  RC_ASSERT(world.planCompleted() || world.newest().step.blocked() > 0);
 }
 
 } // namespace
--- a/tests/unit/place/PlacementWorld.h
+++ b/tests/unit/place/PlacementWorld.h
@@ -12,24 +12,26 @@
 
 namespace poplartrack::placetest {
 
-/** What an endpoint holds, and the side before it. */
+/** A simulated endpoint and its side's order gate. */
 struct Engine
 {
-  EndpointInfo truth;
-  /** Its side's gate; the engine itself takes any order. */
+  /** What the endpoint holds now; views may show an older state. */
+  EndpointInfo actual;
+  /** The side's gate; the engine itself accepts any order. */
   std::unique_ptr<OrderGate> gate;
-  /** A load that goes on: what will be held. */
+  /** The layers that will be held when the running load has finished. */
   std::optional<LayerRange> loading;
 };
 
-/** An order on its way. */
-struct InFlight
+/** An order that is sent and not yet delivered. */
+struct OrderInFlight
 {
+  /** Index of the placer that sent it. */
   std::size_t placer = 0;
   PlacementOrder order;
 };
 
-/** A lease holder, current or former, and its late view. */
+/** A current or former lease holder and its possibly outdated view. */
 struct Placer
 {
   PlacementStep step;
@@ -38,49 +40,56 @@
 };
 
 /**
- * Engines, orders that travel for any time, and several placers of which all
- * but the last are frozen former lease holders that may wake at any moment.
- * Every effect is checked: no order may take away the last cover of a layer.
+ * Simulates engines, orders with any delay, and several placers. All placers
+ * but the newest are former lease holders that may resume at any moment. Each
+ * applied order is checked: uncovered() counts the layers whose last copy it
+ * dropped.
  */
 class World
 {
 public:
   World(Configuration aConfiguration, std::vector<EndpointInfo> aEngines);
 
-  /** A new lease holder with this plan. */
+  /** Adds a new lease holder with this plan and a current view. */
   void takeOver(PlacementPlan aPlan);
-  /** The placer hears of an endpoint what is true now. */
-  void hear(std::size_t aPlacer, std::size_t aEngine);
-  void act(std::size_t aPlacer);
-  /** One order arrives; its answer may be lost. */
-  void land(std::size_t aFlight, bool aAnswered);
-  /** One order is lost. */
-  void drop(std::size_t aFlight);
+  /** Updates a placer's view of one endpoint to the actual state. */
+  void refreshView(std::size_t aPlacer, std::size_t aEngine);
+  /** Sends the orders that the placer's step returns now. */
+  void sendOrders(std::size_t aPlacer);
+  /** Delivers one order; without aAnswered its answer is lost. */
+  void deliver(std::size_t aIndex, bool aAnswered);
+  /** Loses one order. */
+  void drop(std::size_t aIndex);
+  /** Finishes the engine's running load, if any. */
   void finishLoad(std::size_t aEngine);
-  /** The side is replaced: orders on its connections are gone, and it reads
-   * the lease's number before it takes any order. */
+  /** Replaces the side: orders on its connections are lost, and the new side
+   * reads the lease's fencing number before it accepts any order. */
   void restart(std::size_t aEngine);
 
-  [[nodiscard]] std::size_t placers() const { return this->all.size(); }
-  [[nodiscard]] std::size_t flights() const { return this->sent.size(); }
-  /** Name of the endpoint that the order goes to. */
-  [[nodiscard]] const std::string& flightTo(std::size_t aFlight) const
+  [[nodiscard]] std::size_t placers() const { return this->allPlacers.size(); }
+  [[nodiscard]] std::size_t ordersInFlight() const
   {
-    return this->sent[aFlight].order.endpoint;
+    return this->inFlight.size();
   }
-  [[nodiscard]] std::size_t engines() const { return this->fleet.size(); }
+  /** Returns the name of the endpoint that the order is for. */
+  [[nodiscard]] const std::string& destination(std::size_t aIndex) const
+  {
+    return this->inFlight[aIndex].order.endpoint;
+  }
+  [[nodiscard]] std::size_t engines() const { return this->allEngines.size(); }
   [[nodiscard]] const Engine& engine(std::size_t aEngine) const
   {
-    return this->fleet[aEngine];
+    return this->allEngines[aEngine];
   }
-  [[nodiscard]] Placer& newest() { return this->all.back(); }
-  /** Layers that lost their last cover to an order. */
-  [[nodiscard]] int uncovered() const { return this->lostLayers; }
-  /** Whether every engine holds what the newest plan says. */
-  [[nodiscard]] bool settled() const;
-  /** Whether every layer of the model "toy" is held in this version. */
-  [[nodiscard]] bool whole(const std::string& aVersion,
-                           std::uint32_t aLayers) const;
+  /** Returns the current lease holder. */
+  [[nodiscard]] Placer& newest() { return this->allPlacers.back(); }
+  /** Returns how many layers lost their last copy by an order. */
+  [[nodiscard]] int uncovered() const { return this->layersLost; }
+  /** Returns whether every engine holds what the newest plan requires. */
+  [[nodiscard]] bool planCompleted() const;
+  /** Returns whether every layer of this version of the model "toy" is held. */
+  [[nodiscard]] bool coversAll(const std::string& aVersion,
+                               std::uint32_t aLayers) const;
 
   ManualClock clock;
 
@@ -88,14 +97,15 @@
   [[nodiscard]] std::uint32_t copies(const std::string& aModel,
                                      const std::string& aVersion,
                                      std::uint32_t aLayer) const;
-  void take(Engine& aEngine, const EndpointOrder& aOrder);
+  /** Changes the engine's layers as the order says and counts lost layers. */
+  void applyOrder(Engine& aEngine, const EndpointOrder& aOrder);
 
   Configuration configuration;
-  std::vector<Engine> fleet;
-  std::vector<Placer> all;
-  std::vector<InFlight> sent;
+  std::vector<Engine> allEngines;
+  std::vector<Placer> allPlacers;
+  std::vector<OrderInFlight> inFlight;
   std::uint64_t lease = 0;
-  int lostLayers = 0;
+  int layersLost = 0;
 };
 
 } // namespace poplartrack::placetest
