--- a/include/poplartrack/route/EndpointEstimate.h
+++ b/include/poplartrack/route/EndpointEstimate.h
@@ -10,30 +10,33 @@
 
 namespace poplartrack {
 
-/** One endpoint of the asked model with what this entry remembers of it. */
+/** One endpoint that holds layers of the requested model, with this entry's
+ * record and the current cost estimate. */
 struct Candidate
 {
   const EndpointInfo* info = nullptr;
   EndpointRecord* record = nullptr;
   Fitness fitness = Fitness::Fit;
-  /** Number of its availability zone in the decision's ZoneTable. */
+  /** Index of its availability zone in the decision's ZoneTable. */
   std::uint32_t zone = 0;
-  /** Open attempts it is believed to have. */
+  /** Estimated number of open attempts at the endpoint. */
   double load = 0;
-  /** Expected decode step of one layer under that load, microseconds. */
+  /** Expected decode step of one layer under that load, in microseconds. */
   double layerMicros = 0;
-  /** What layerMicros is multiplied by when routes are weighed. */
-  double price = 1;
-  /** Part of layerMicros that a step waits at the side. */
-  double waitPart = 0;
-  /** One way beyond what its availability zone costs, microseconds. */
+  /** Factor on layerMicros when routes are compared; see congestionFactor(). */
+  double costFactor = 1;
+  /** Fraction of layerMicros that a step waits in the side's queue. */
+  double queueFraction = 0;
+  /** Measured one-way link time beyond the link time of its availability zone,
+   * in microseconds. */
   double extraLinkMicros = 0;
-  /** Part of the prefill that is not hoped to be cached there. */
-  double prefillPart = 1;
+  /** Fraction of the prefill that is expected to run there; the rest is
+   * expected to be in the endpoint's prefix cache. */
+  double prefillFraction = 1;
 };
 
-/** Fills load and layerMicros of all candidates, which are weighed against
- * each other: what is not known of one is taken to be as of the others. */
+/** Fills load, layerMicros, costFactor and queueFraction of all candidates.
+ * Values that are unknown for one candidate are derived from the others. */
 void
 estimate(std::vector<Candidate>& aCandidates,
          const RoutePolicy& aPolicy,
--- a/include/poplartrack/route/EndpointHint.h
+++ b/include/poplartrack/route/EndpointHint.h
@@ -9,25 +9,29 @@
 
 namespace poplartrack {
 
-/** One snapshot may find no step there at all. */
-constexpr double kLeastPresence = 0.05;
+/** Lower bound of the fraction of attempts with a step at the endpoint: a
+ * single snapshot may find no step there at all. */
+constexpr double kMinActiveFraction = 0.05;
 
-/** How far an endpoint may be given new work. */
+/** Whether an endpoint may get new work. */
 enum class Fitness : std::uint8_t
 {
   Fit,
-  /** Resting after failures; taken only when nothing else covers a layer. */
+  /** In backoff after failures; used only when no fit endpoint covers a
+   * layer. */
   BackingOff,
+  /** Draining: gets no new work. */
   Unfit,
 };
 
-/** Takes the newest hint into the record, if there is a new one. */
+/** Updates the record from the endpoint's load hint, if that is new. */
 void
-takeHint(const EndpointInfo& aInfo,
-         const RoutePolicy& aPolicy,
-         EndpointRecord& aRecord);
+applyHint(const EndpointInfo& aInfo,
+          const RoutePolicy& aPolicy,
+          EndpointRecord& aRecord);
 
-/** Fitness by leaving, failures and the one trial after a rest. */
+/** Returns the fitness, derived from draining, failures and the single trial
+ * attempt that is allowed after a backoff. */
 Fitness
 fitnessOf(const EndpointInfo& aInfo,
           const EndpointRecord& aRecord,
--- a/include/poplartrack/route/EndpointInfo.h
+++ b/include/poplartrack/route/EndpointInfo.h
@@ -10,40 +10,43 @@
 
 namespace poplartrack {
 
-/** What an entry believes of one endpoint. Late; never proof. */
+/** The last reported state of one endpoint. It may be outdated and proves
+ * nothing about the present. */
 struct EndpointInfo
 {
   std::string name;
+  /** The side's incarnation; each restart has a new one. */
   std::uint64_t incarnation = 0;
   /** The side's address, "A.B.C.D:PORT". */
   std::string address;
   std::string zone;
   std::string region;
-  /** "engine", or the plain service's name. */
+  /** "engine", or the name of the plain service. */
   std::string service;
   std::string accelerator;
   std::string model;
   std::string modelVersion;
+  /** Layers of the model that the endpoint holds. */
   LayerRange holds;
-  /** When model, version and holds were heard, by a probe; replies to requests
-   * refresh the load alone. */
+  /** When a probe last reported model, version and holds; replies to requests
+   * update only the load. */
   TimePoint holdsReportedAt{};
-  /** Layers that fit the endpoint's memory; 0: it did not say. */
+  /** Number of layers that fit the endpoint's memory; 0 if not reported. */
   std::uint32_t capacityLayers = 0;
-  /** Layers of one token that it nominally runs a second; 0: it did not say. */
+  /** Nominal speed in layers of one token per second; 0 if not reported. */
   std::uint32_t layersPerSecond = 0;
-  /** Leaving by the instance list or by the side's own word. */
+  /** Draining, according to the instance list or to the side itself. */
   bool draining = false;
   LoadHint load;
-  /** When the load was heard. */
+  /** When the load was last reported. */
   TimePoint loadReportedAt{};
   /** Smoothed round trip to the side. */
   Duration roundTrip{ 0 };
-  /** Calls to it that failed in a row. */
+  /** Number of consecutive failed calls to it. */
   std::uint32_t failures = 0;
 };
 
-/** All endpoints an entry knows, replaced whole. */
+/** All endpoints that an entry knows. An update replaces the whole view. */
 struct EndpointView
 {
   std::vector<EndpointInfo> endpoints;
--- a/include/poplartrack/route/EndpointMemory.h
+++ b/include/poplartrack/route/EndpointMemory.h
@@ -12,41 +12,45 @@
 
 namespace poplartrack {
 
-/** What one entry learnt of one endpoint by its own traffic. */
+/** What one entry has learnt about one endpoint from its own traffic and from
+ * the endpoint's load hints. */
 struct EndpointRecord
 {
-  /** Attempts or calls of this entry that are open there. */
+  /** Open attempts and calls of this entry at the endpoint. */
   std::uint32_t inFlight = 0;
-  /** Measured step over the hinted one, smoothed. */
+  /** Smoothed ratio of the measured step time to the hinted one. */
   double slowness = 1;
-  /** Failures since it last answered. */
+  /** Failures since the last success. */
   std::uint32_t failures = 0;
-  /** No new work before this, but for one trial. */
-  TimePoint restsUntil{};
-  /** When this entry first met it. */
+  /** No new work before this time, unless no other endpoint covers a layer.
+   * Afterwards one trial attempt at a time until one succeeds. */
+  TimePoint backoffUntil{};
+  /** When this entry first saw the endpoint. */
   TimePoint firstSeen{};
-  /** What a layer's step and the hop to it were expected to take when last
-   * chosen, microseconds. */
-  double expectedMicros = 0;
+  /** Expected step of one layer and expected hop to the endpoint when it was
+   * last chosen, in microseconds. */
+  double expectedLayerMicros = 0;
   double expectedHopMicros = 0;
   TimePoint lastUsed{};
 
-  /** The newest hint taken in, and what was open here when it was heard. */
-  TimePoint hintHeard{};
+  /** Report time of the newest applied hint, and inFlight at that time. */
+  TimePoint hintReportedAt{};
   std::uint32_t inFlightAtHint = 0;
-  /** Step of one layer in a batch of one beside the fixed part, smoothed over
-   * hints, microseconds; 0 when never told. */
+  /** Smoothed time that each step in a batch adds to the step of one layer, in
+   * microseconds; 0 if never hinted. The step of a layer takes
+   * unitMicros * (RoutePolicy::batchKnee + batch size). */
   double unitMicros = 0;
-  /** Steps that run side by side when others wait; 0 when none ever did. */
-  double batch = 0;
-  /** Part of its attempts that is there at one moment, the others' steps being
-   * at other stages; smoothed over hints. */
-  double presence = 0;
-  /** Steps waiting over steps running, smoothed over hints. */
-  double waitRatio = 0;
+  /** Number of steps that run together when others wait, that is, the size of a
+   * full batch; 0 if no step has waited yet. */
+  double batchSize = 0;
+  /** Smoothed fraction of its attempts that have a step running or queued
+   * there; the steps of the others are at other stages. */
+  double activeFraction = 0;
+  /** Smoothed ratio of queued steps to running steps. */
+  double queueRatio = 0;
 };
 
-/** Finds string keys by string_view. */
+/** Transparent hash: looks up string keys by string_view. */
 struct TextHash
 {
   using is_transparent = void;
@@ -56,16 +60,17 @@
   }
 };
 
-/** The records of all endpoints met lately. Not thread-safe. */
+/** The records of all recently seen endpoints. Not thread-safe. */
 class EndpointMemory
 {
 public:
-  /** The record, made if need be. Stays valid until forget(). */
+  /** Returns the record, created if missing. The reference is valid until
+   * forget(). */
   EndpointRecord& at(std::string_view aEndpoint, TimePoint aNow);
-  /** The record, or nullptr when the endpoint was never met. */
+  /** Returns the record, or nullptr if there is none. */
   [[nodiscard]] const EndpointRecord* find(std::string_view aEndpoint) const;
   EndpointRecord* find(std::string_view aEndpoint);
-  /** Drops records without work that were not used since aBefore. */
+  /** Removes records without open work that were not used since aBefore. */
   void forget(TimePoint aBefore);
   [[nodiscard]] std::size_t size() const { return this->records.size(); }
 
--- a/include/poplartrack/route/FlowBound.h
+++ b/include/poplartrack/route/FlowBound.h
@@ -8,22 +8,23 @@
 
 namespace poplartrack {
 
-/** What one endpoint can do, for the throughput bound. */
+/** Capacity of one endpoint, for the throughput bound. */
 struct FlowEndpoint
 {
   LayerRange holds;
-  /** Tokens a second times layers run. */
+  /** Layers of one token that it runs per second. */
   double layerTokensPerSecond = 0;
-  /** Tokens a second that its network link takes; 0: no limit. */
+  /** Tokens per second that its network link carries; 0 if unlimited. */
   double linkTokensPerSecond = 0;
 };
 
 /**
- * The most tokens a second that any routing can get through the layers
- * [0, aLayers): the max-flow bound over mixed accelerators and links. The flow
- * is that of layer-tokens from endpoints to the layers they hold; an endpoint
- * may split its time over sub-ranges, and links between single pairs are not
- * in it, so no routing does better and a real one may do a little worse.
+ * Returns an upper bound on the tokens per second that any routing can run
+ * through the layers [0, aLayers): the maximum flow of layer-tokens from the
+ * endpoints to the layers that they hold. The flow allows an endpoint to split
+ * its time over parts of its range and ignores the links between single pairs
+ * of endpoints, so no routing exceeds the bound and a real one may stay a
+ * little below it.
  */
 double
 flowBound(const std::vector<FlowEndpoint>& aEndpoints, std::uint32_t aLayers);
--- a/include/poplartrack/route/LayerGraph.h
+++ b/include/poplartrack/route/LayerGraph.h
@@ -11,39 +11,44 @@
 
 namespace poplartrack {
 
-/** One stage of a path: a candidate (by index) and what it runs. */
+/** One stage of a path: a candidate and the layers that it runs. */
 struct PathStage
 {
+  /** Index of the candidate. */
   std::uint32_t candidate = 0;
   LayerRange runs;
 };
 
-/** How much of each cost one request pays. */
+/** The amount of work of one request, as factors on the costs. */
 struct PathWork
 {
-  /** Decode steps that each stage makes. */
+  /** Decode steps that each stage runs. */
   double steps = 1;
-  /** The time of the first step's inputs as a number of decode steps. */
+  /** Duration of the prefill, in decode steps. */
   double prefillSteps = 0;
-  /** The work of the first step's inputs as a number of decode steps in a full
-   * batch: what they keep others from. */
+  /** Work of the prefill, in decode steps of a full batch: the capacity that it
+   * takes from other requests. */
   double prefillWork = 0;
 };
 
-/** The places at which routes of one model may be cut, 0 and L included. */
+/** Returns the layers at which routes of one model may change from one stage to
+ * the next, in ascending order and with 0 and aLayers. At most aMaxCuts lie
+ * between these two, unless the cover with the fewest stages needs more. */
 std::vector<std::uint32_t>
-cutsOf(const std::vector<Candidate>& aCandidates,
-       std::uint32_t aLayers,
-       std::uint32_t aMaxCuts);
+cutPoints(const std::vector<Candidate>& aCandidates,
+          std::uint32_t aLayers,
+          std::uint32_t aMaxCuts);
 
-/** What no candidate holds; empty when all layers are covered. */
+/** Returns the layer ranges that no candidate holds. */
 std::vector<LayerRange>
-uncovered(const std::vector<Candidate>& aCandidates, std::uint32_t aLayers);
+uncoveredLayers(const std::vector<Candidate>& aCandidates,
+                std::uint32_t aLayers);
 
 /**
- * The graph whose nodes are (cut, availability zone) and whose edges are the
- * cheapest candidate between two cuts in a zone. Candidates are folded into
- * edges first, so that the search costs cuts and zones, not endpoints.
+ * The graph in which paths are searched. A node is a cut point and an
+ * availability zone; an edge is the cheapest candidate of a zone that holds the
+ * layers between two cut points. The cost of the search therefore depends on
+ * the number of cut points and zones, not on the number of endpoints.
  */
 class LayerGraph
 {
@@ -53,26 +58,28 @@
              const ZoneTable& aZones,
              const PathWork& aWork);
 
-  /** Folds the fit candidates, or the resting ones as well, each at a cost
-   * drawn up by up to aSpread of itself. */
+  /** Builds the edges from the fit candidates and, if aWithBackingOff, also
+   * from those in backoff. The cost of each candidate is multiplied by a random
+   * factor in [1, 1 + aSpread). */
   void buildEdges(bool aWithBackingOff,
                   double aSpread,
                   std::mt19937_64& aRandom);
 
-  /** The cheapest path, empty when there is none. No candidate is in it
-   * twice. */
+  /** Returns the cheapest path, or an empty one if there is none. No candidate
+   * occurs in it twice. */
   [[nodiscard]] std::vector<PathStage> cheapest() const;
 
 private:
+  /** No candidate; as a first zone: any zone. */
   static constexpr std::uint32_t kNone = UINT32_MAX;
 
-  /** The cheapest candidate between two cuts in one zone. */
+  /** The cheapest candidate between two cut points in one zone. */
   struct Edge
   {
     double cost = 0;
     std::uint32_t candidate = kNone;
   };
-  /** The cheapest way to a node. */
+  /** The cheapest path to a node and its predecessor there. */
   struct Node
   {
     double cost = 0;
@@ -81,16 +88,26 @@
     std::uint32_t fromZone = 0;
   };
 
-  [[nodiscard]] std::size_t edgeAt(std::uint32_t aFrom,
-                                   std::uint32_t aTo,
-                                   std::uint32_t aZone) const;
-  void offer(std::uint32_t aIndex, double aFactor);
+  /** Returns the index in edges; aFrom and aTo are indexes in cuts. */
+  [[nodiscard]] std::size_t edgeIndex(std::uint32_t aFrom,
+                                      std::uint32_t aTo,
+                                      std::uint32_t aZone) const;
+  /** Adds a candidate to all edges whose layers it holds, with its cost
+   * multiplied by aFactor. */
+  void addEdges(std::uint32_t aIndex, double aFactor);
+  /** Returns the cheapest path to each node. With aFirstZone only paths whose
+   * first stage is in that zone; kNone: any. */
   std::vector<Node> search(std::uint32_t aFirstZone) const;
-  [[nodiscard]] double total(const std::vector<Node>& aNodes,
-                             std::uint32_t aLastZone,
-                             std::uint32_t aFirstZone) const;
-  [[nodiscard]] std::vector<PathStage> trace(const std::vector<Node>& aNodes,
-                                             std::uint32_t aLastZone) const;
+  /** Returns the cost of the cheapest path that ends in aLastZone, with the
+   * hops from the last stage back to the first one; infinity if there is none.
+   * With kNone the first stage counts as being in zone 0, the entry's zone. */
+  [[nodiscard]] double pathCost(const std::vector<Node>& aNodes,
+                                std::uint32_t aLastZone,
+                                std::uint32_t aFirstZone) const;
+  /** Returns the stages of the cheapest path that ends in aLastZone. */
+  [[nodiscard]] std::vector<PathStage> tracePath(
+    const std::vector<Node>& aNodes,
+    std::uint32_t aLastZone) const;
 
   const std::vector<Candidate>& candidates;
   const std::vector<std::uint32_t>& cuts;
--- a/include/poplartrack/route/RoutePolicy.h
+++ b/include/poplartrack/route/RoutePolicy.h
@@ -6,42 +6,50 @@
 
 namespace poplartrack {
 
-/** What the route choice may be tuned by; the defaults are measured ones. */
+/** Parameters of the route choice. */
 struct RoutePolicy
 {
-  /** One way between two instances of one availability zone. */
+  /** One-way link time between two instances of one availability zone. */
   Duration sameZoneLink = std::chrono::microseconds{ 150 };
-  /** One way between two availability zones of one region. */
+  /** One-way link time between two availability zones of one region. */
   Duration sameRegionLink = std::chrono::microseconds{ 500 };
-  /** One way between two regions. */
+  /** One-way link time between two regions. */
   Duration otherRegionLink = std::chrono::milliseconds{ 40 };
-  /** Handling of one hop beside its link. */
+  /** Processing time of one hop, without its link. */
   Duration hopOverhead = std::chrono::microseconds{ 200 };
-  /** Decode step of a layer where no hint and no neighbour tells. */
+  /** Decode step of one layer if no endpoint has sent a hint; also an upper
+   * bound for endpoints without a hint. */
   Duration defaultLayerStep = std::chrono::microseconds{ 500 };
-  /** Cost of one prefill token as a part of a decode step. */
+  /** Cost of one prefill token, in decode steps. */
   double prefillTokenCost = 0.02;
-  /** Open attempts an endpoint runs side by side before they slow it. */
+  /** Batch size up to which further steps hardly slow an endpoint: the time of
+   * a step is proportional to batchKnee + batch size. */
   double batchKnee = 8;
-  /** A full batch's price is 1 + crowdingPrice times its time; the price rises
-   * with the batch's filling to this power. */
-  double crowdingPrice = 3;
-  double crowdingPower = 4;
-  /** A hint loses half of its weight in this time. */
+  /** The cost of an endpoint is its time multiplied by
+   * 1 + congestionWeight * fill^congestionExponent, where fill is the number of
+   * steps there divided by the size of a full batch. */
+  double congestionWeight = 3;
+  double congestionExponent = 4;
+  /** Time in which a hint loses half of its weight. */
   Duration hintHalfLife = std::chrono::seconds{ 2 };
-  /** Each endpoint's cost is drawn up by as much as this part of itself, so
-   * that entries with the same late hints part ways. */
+  /** Jitter: each endpoint's cost is multiplied by a random factor in
+   * [1, 1 + spread), so that entries with the same outdated hints choose
+   * different routes. Backoff times get the same jitter. */
   double spread = 0.25;
-  /** An endpoint newer than this is ramped up. */
+  /** Duration of the slow start of a new endpoint. */
   Duration slowStart = std::chrono::seconds{ 5 };
-  /** Part of the prefill that a warm prefix is hoped to save. */
+  /** Fraction of the prefill that a cached prefix is expected to save. */
   double prefixSaving = 0.8;
-  /** Affinity ends at this multiple of the mean load. */
+  /** Prefix affinity does not apply to endpoints with more than about this
+   * multiple of the mean load. */
   double prefixLoadBound = 1.25;
-  /** First rest of an endpoint that failed; doubles with each failure. */
-  Duration firstRest = std::chrono::milliseconds{ 500 };
-  Duration longestRest = std::chrono::seconds{ 20 };
-  /** Most places at which routes are cut, beside 0 and the last layer. */
+  /** First backoff of an endpoint that failed; doubles with each further
+   * failure. */
+  Duration initialBackoff = std::chrono::milliseconds{ 500 };
+  /** Upper bound of the backoff, before jitter. */
+  Duration maxBackoff = std::chrono::seconds{ 20 };
+  /** Maximum number of layers at which routes may be cut, not counting 0 and
+   * the last layer. */
   std::uint32_t maxCuts = 24;
 };
 
--- a/include/poplartrack/route/ZoneTable.h
+++ b/include/poplartrack/route/ZoneTable.h
@@ -9,9 +9,9 @@
 namespace poplartrack {
 
 /**
- * The availability zones that one decision meets, as small numbers, and the
- * cost of one hop between each two of them in microseconds. Zone 0 is the
- * entry's own.
+ * Maps the availability zones of one decision to small indexes and holds the
+ * cost of a hop between each two of them, in microseconds. Index 0 is the
+ * entry's own zone.
  */
 class ZoneTable
 {
@@ -20,24 +20,25 @@
             const std::string& aZone,
             const std::string& aRegion);
 
-  /** The zone's number, given out if need be. */
+  /** Returns the zone's index; a new zone gets the next one. */
   std::uint32_t numberOf(const std::string& aZone, const std::string& aRegion);
-  /** One hop: link and handling. */
+  /** Returns the cost of a hop: link time and processing time. */
   [[nodiscard]] double hop(std::uint32_t aFrom, std::uint32_t aTo) const
   {
     return this->hops[aFrom * this->width + aTo];
   }
-  /** The link alone. */
+  /** Returns the one-way link time alone. */
   [[nodiscard]] double link(std::uint32_t aFrom, std::uint32_t aTo) const;
-  /** Fixes the hop costs; call after the last numberOf(). */
-  void seal();
+  /** Computes the hop costs. Must be called after the last numberOf() and
+   * before hop(). */
+  void computeHops();
   [[nodiscard]] std::uint32_t size() const
   {
     return static_cast<std::uint32_t>(this->names.size());
   }
 
 private:
-  /** An availability zone is named within its region. */
+  /** Zone names are unique only within a region. */
   struct Name
   {
     std::string zone;
--- a/src/route/EndpointEstimate.cpp
+++ b/src/route/EndpointEstimate.cpp
@@ -7,23 +7,25 @@
 namespace poplartrack {
 namespace {
 
-/** An endpoint that nobody has tried is taken to be this much faster than the
- * fastest that is known. At the mean of the known ones it stayed idle for good
- * beside one that was a little faster than the mean: with one caller at a time
- * nothing else ever makes the choice try it. Its slow start keeps a crowd from
- * finding out all at once. */
-constexpr double kUntried = 0.8;
-
-/** A learnt slowness that is not confirmed fades with this half-life. */
+/** An endpoint without a hint is expected to take this fraction of the time of
+ * the fastest known one. If it were expected to be as fast as the mean, it
+ * would stay idle permanently beside an endpoint that is a little faster than
+ * the mean: with one request at a time nothing else makes the chooser try it.
+ * The slow start prevents a thundering herd at the new endpoint. */
+constexpr double kUntriedCostFactor = 0.8;
+
+/** Half-life, in microseconds, of a learnt slowness without new
+ * measurements. */
 constexpr double kSlownessHalfLifeMicros = 120e6;
 
+/** Returns the time between two points in microseconds, 0 if it is negative. */
 double
 microsBetween(TimePoint aFrom, TimePoint aTo)
 {
   return static_cast<double>(std::max<std::int64_t>(0, (aTo - aFrom).count()));
 }
 
-/** Weight of a hint of this age; 0 when none was ever heard. */
+/** Returns the weight of the endpoint's hint by its age; 0 without a hint. */
 double
 hintWeight(const EndpointInfo& aInfo,
            const RoutePolicy& aPolicy,
@@ -36,89 +38,101 @@
   return std::exp2(-age / static_cast<double>(aPolicy.hintHalfLife.count()));
 }
 
+/** Returns the learnt slowness, decayed towards 1 since it was last used. */
 double
-fadedSlowness(const EndpointRecord& aRecord, TimePoint aNow)
+decayedSlowness(const EndpointRecord& aRecord, TimePoint aNow)
 {
   const double idle = microsBetween(aRecord.lastUsed, aNow);
   const double part = std::exp2(-idle / kSlownessHalfLifeMicros);
   return std::pow(aRecord.slowness, part);
 }
 
-/** What the hints say on the whole. */
-struct Average
+/** Values derived from the hints of all candidates. */
+struct HintSummary
 {
-  /** What an endpoint is taken to need that nobody has tried yet. */
+  /** EndpointRecord::unitMicros that is assumed for an endpoint without a
+   * hint. */
   double untriedMicros = 0;
-  /** Attempts for each one of this entry. */
-  double entries = 1;
-  /** Part of an endpoint's attempts that is there at one moment: the others'
-   * steps are at other stages. */
-  double presence = 1;
+  /** Attempts of all entries per attempt of this entry. */
+  double attemptsPerOwn = 1;
+  /** Fraction of an endpoint's attempts that have a step running or queued
+   * there; the steps of the others are at other stages. */
+  double activeFraction = 1;
 };
 
+/** Returns whether the endpoint has ever sent a hint with a step time. */
 bool
-told(const Candidate& aCandidate)
+hasHint(const Candidate& aCandidate)
 {
   return aCandidate.record->unitMicros > 0;
 }
 
-Average
-averageOf(const std::vector<Candidate>& aCandidates, const RoutePolicy& aPolicy)
+/** Summarizes the hints of all candidates. */
+HintSummary
+summarizeHints(const std::vector<Candidate>& aCandidates,
+               const RoutePolicy& aPolicy)
 {
   double attempts = 0;
   double own = 0;
-  double present = 0;
-  double least = std::numeric_limits<double>::infinity();
+  double activeSteps = 0;
+  double minUnit = std::numeric_limits<double>::infinity();
   for (const Candidate& candidate : aCandidates) {
-    if (!told(candidate)) {
+    if (!hasHint(candidate)) {
       continue;
     }
     const LoadHint& hint = candidate.info->load;
     attempts += hint.attempts;
     own += candidate.record->inFlightAtHint;
-    present += hint.running + hint.queued;
-    least = std::min(least, candidate.record->unitMicros);
+    activeSteps += hint.running + hint.queued;
+    minUnit = std::min(minUnit, candidate.record->unitMicros);
   }
-  Average average;
-  average.untriedMicros =
-    kUntried * std::min(least,
-                        static_cast<double>(aPolicy.defaultLayerStep.count()) /
-                          (aPolicy.batchKnee + 1));
+  HintSummary summary;
+  summary.untriedMicros =
+    kUntriedCostFactor *
+    std::min(minUnit,
+             static_cast<double>(aPolicy.defaultLayerStep.count()) /
+               (aPolicy.batchKnee + 1));
   if (attempts > 0) {
-    constexpr double kMostEntries = 16;
-    average.entries =
-      std::clamp(attempts / std::max(1.0, own), 1.0, kMostEntries);
-    average.presence = std::clamp(present / attempts, kLeastPresence, 1.0);
+    constexpr double kMaxAttemptsPerOwn = 16;
+    summary.attemptsPerOwn =
+      std::clamp(attempts / std::max(1.0, own), 1.0, kMaxAttemptsPerOwn);
+    summary.activeFraction =
+      std::clamp(activeSteps / attempts, kMinActiveFraction, 1.0);
   }
-  return average;
+  return summary;
 }
 
 /**
- * Open attempts. What this entry started there since the hint counts as often
- * as hints show attempts for each of its own: the others see the same hints
- * and do the same, and a herd forms where each counts only itself. What ended
- * counts once: attempts that end early may mean a stage that dies, which must
- * not look idle. As a hint grows old, the entry's own share takes its place:
- * were it drawn towards 0, a silent endpoint would get all the work.
+ * Returns the estimated number of open attempts. Each attempt that this entry
+ * started there since the hint counts as attemptsPerOwn attempts: the other
+ * entries see the same hints and make the same choices, and if each counted
+ * only its own attempts, a thundering herd would follow. Each attempt that
+ * ended since the hint counts once: attempts that end early may be caused by a
+ * failing stage, which must not look idle. As a hint ages, an estimate from the
+ * entry's own attempts replaces it. If the load decayed towards 0 instead, an
+ * endpoint that sends no hints would get all the work.
  */
 double
-believedLoad(const Candidate& aCandidate,
-             const Average& aAverage,
-             double aWeight)
+estimatedLoad(const Candidate& aCandidate,
+              const HintSummary& aSummary,
+              double aWeight)
 {
   const EndpointRecord& record = *aCandidate.record;
   const auto own = static_cast<double>(record.inFlight);
   const double since = own - record.inFlightAtHint;
   const double hinted = aCandidate.info->load.attempts +
-                        (since > 0 ? since * aAverage.entries : since);
-  const double guessed = own * aAverage.entries;
+                        (since > 0 ? since * aSummary.attemptsPerOwn : since);
+  const double guessed = own * aSummary.attemptsPerOwn;
   const double load = aWeight * hinted + (1 - aWeight) * guessed;
   return std::max(load, own);
 }
 
-/** 1 when just met, 0 once the slow start is over. */
+/** Returns the remaining fraction of the endpoint's slow start, from 1 down to
+ * 0. */
 double
-newness(const Candidate& aCandidate, const RoutePolicy& aPolicy, TimePoint aNow)
+slowStartRemaining(const Candidate& aCandidate,
+                   const RoutePolicy& aPolicy,
+                   TimePoint aNow)
 {
   const double age = microsBetween(aCandidate.record->firstSeen, aNow);
   return std::max(0.0,
@@ -126,20 +140,21 @@
 }
 
 /**
- * A newcomer is idle, so it is the cheapest in the view of every entry at
- * once, and until its load shows in hints all of them would send it
- * everything. So it starts at the cost of the endpoints that do the work and
- * comes down to its own within the slow start.
+ * Raises the cost of new endpoints during their slow start. A new endpoint is
+ * idle and therefore the cheapest for every entry, and all of them would send
+ * it everything until its load shows in hints. It starts at the mean cost of
+ * the endpoints that do the work, and falls to its own cost during the slow
+ * start.
  */
 void
-rampUp(std::vector<Candidate>& aCandidates,
-       const RoutePolicy& aPolicy,
-       TimePoint aNow)
+applySlowStart(std::vector<Candidate>& aCandidates,
+               const RoutePolicy& aPolicy,
+               TimePoint aNow)
 {
   double cost = 0;
   double loads = 0;
   for (const Candidate& candidate : aCandidates) {
-    if (newness(candidate, aPolicy, aNow) == 0) {
+    if (slowStartRemaining(candidate, aPolicy, aNow) == 0) {
       cost += candidate.layerMicros * candidate.load;
       loads += candidate.load;
     }
@@ -148,50 +163,53 @@
     return;
   }
   for (Candidate& candidate : aCandidates) {
-    const double part = newness(candidate, aPolicy, aNow);
+    const double part = slowStartRemaining(candidate, aPolicy, aNow);
     candidate.layerMicros =
       std::max(candidate.layerMicros, part * cost / loads);
   }
 }
 
 /**
- * How much dearer a place is than the time it takes. Were it the time alone,
- * each request would be best off on the fast endpoints until these are as slow
- * by their queues as the slow ones are without: the slow ones would stay half
- * empty while others queue. The price rises steeply where a batch is full, so
- * that every endpoint fills up at nearly the same part of its own size.
+ * Returns the factor by which an endpoint's cost exceeds its expected time.
+ * With the time alone, each request would go to the fast endpoints until their
+ * queues make them as slow as the slow ones: the slow ones would stay half
+ * empty while requests queue elsewhere. The factor rises steeply when a batch
+ * is nearly full, so that all endpoints fill up to nearly the same fraction of
+ * their batch size.
  */
 double
-crowding(const EndpointRecord& aRecord,
-         double aPresent,
-         const RoutePolicy& aPolicy)
+congestionFactor(const EndpointRecord& aRecord,
+                 double aActiveSteps,
+                 const RoutePolicy& aPolicy)
 {
-  if (aRecord.batch <= 0) {
+  if (aRecord.batchSize <= 0) {
     return 1;
   }
-  constexpr double kMost = 2;
-  const double part = std::min(kMost, aPresent / aRecord.batch);
-  return 1 + aPolicy.crowdingPrice * std::pow(part, aPolicy.crowdingPower);
+  constexpr double kMaxFill = 2;
+  const double part = std::min(kMaxFill, aActiveSteps / aRecord.batchSize);
+  return 1 +
+         aPolicy.congestionWeight * std::pow(part, aPolicy.congestionExponent);
 }
 
+/** Fills the estimate of one candidate, without slow start. */
 void
 estimateOne(Candidate& aCandidate,
-            const Average& aAverage,
+            const HintSummary& aSummary,
             const RoutePolicy& aPolicy,
             TimePoint aNow)
 {
   const EndpointRecord& record = *aCandidate.record;
   const double weight = hintWeight(*aCandidate.info, aPolicy, aNow);
-  aCandidate.load = believedLoad(aCandidate, aAverage, weight);
+  aCandidate.load = estimatedLoad(aCandidate, aSummary, weight);
   const double unit =
-    told(aCandidate) ? record.unitMicros : aAverage.untriedMicros;
-  const double presence =
-    record.presence > 0 ? record.presence : aAverage.presence;
-  const double present = aCandidate.load * presence;
-  aCandidate.layerMicros = unit * (aPolicy.batchKnee + present + 1) *
-                           fadedSlowness(*aCandidate.record, aNow);
-  aCandidate.price = crowding(record, present, aPolicy);
-  aCandidate.waitPart = record.waitRatio / (1 + record.waitRatio);
+    hasHint(aCandidate) ? record.unitMicros : aSummary.untriedMicros;
+  const double activeFraction =
+    record.activeFraction > 0 ? record.activeFraction : aSummary.activeFraction;
+  const double activeSteps = aCandidate.load * activeFraction;
+  aCandidate.layerMicros = unit * (aPolicy.batchKnee + activeSteps + 1) *
+                           decayedSlowness(*aCandidate.record, aNow);
+  aCandidate.costFactor = congestionFactor(record, activeSteps, aPolicy);
+  aCandidate.queueFraction = record.queueRatio / (1 + record.queueRatio);
 }
 
 } // namespace
@@ -201,11 +219,11 @@
          const RoutePolicy& aPolicy,
          TimePoint aNow)
 {
-  const Average average = averageOf(aCandidates, aPolicy);
+  const HintSummary summary = summarizeHints(aCandidates, aPolicy);
   for (Candidate& candidate : aCandidates) {
-    estimateOne(candidate, average, aPolicy, aNow);
+    estimateOne(candidate, summary, aPolicy, aNow);
   }
-  rampUp(aCandidates, aPolicy, aNow);
+  applySlowStart(aCandidates, aPolicy, aNow);
 }
 
 } // namespace poplartrack
--- a/src/route/EndpointHint.cpp
+++ b/src/route/EndpointHint.cpp
@@ -6,31 +6,35 @@
 namespace poplartrack {
 namespace {
 
-/** Failures in a row, as counted by probes, that make an endpoint a suspect. */
-constexpr std::uint32_t kSuspectFailures = 2;
-/** Time constant of what is smoothed over hints: they come with probes each
- * second or with tokens each millisecond. */
-constexpr double kHintSmoothMicros = 2e6;
-/** However rare they are, one alone is one snapshot. */
-constexpr double kMostHintWeight = 0.4;
-constexpr double kBatchFade = 0.05;
+/** Number of consecutive failures, as counted by probes, that put an endpoint
+ * in backoff. */
+constexpr std::uint32_t kBackoffProbeFailures = 2;
+/** Time constant of the smoothing over hints, in microseconds. Hints arrive
+ * with probes every second or with tokens every millisecond. */
+constexpr double kHintTimeConstantMicros = 2e6;
+/** Maximum weight of one hint, however long ago the one before was: each hint
+ * is only a snapshot. */
+constexpr double kMaxHintWeight = 0.4;
+/** Rate, relative to the weight of a hint, at which the largest batch size seen
+ * decays towards the current one. */
+constexpr double kBatchDecay = 0.05;
 
 } // namespace
 
 void
-takeHint(const EndpointInfo& aInfo,
-         const RoutePolicy& aPolicy,
-         EndpointRecord& aRecord)
+applyHint(const EndpointInfo& aInfo,
+          const RoutePolicy& aPolicy,
+          EndpointRecord& aRecord)
 {
   const LoadHint& hint = aInfo.load;
-  if (aInfo.loadReportedAt == aRecord.hintHeard || hint.stepMicros == 0) {
+  if (aInfo.loadReportedAt == aRecord.hintReportedAt || hint.stepMicros == 0) {
     return;
   }
-  const double since =
-    static_cast<double>((aInfo.loadReportedAt - aRecord.hintHeard).count());
-  const double share =
-    std::min(kMostHintWeight, 1 - std::exp(-since / kHintSmoothMicros));
-  aRecord.hintHeard = aInfo.loadReportedAt;
+  const double since = static_cast<double>(
+    (aInfo.loadReportedAt - aRecord.hintReportedAt).count());
+  const double weight =
+    std::min(kMaxHintWeight, 1 - std::exp(-since / kHintTimeConstantMicros));
+  aRecord.hintReportedAt = aInfo.loadReportedAt;
   aRecord.inFlightAtHint = aRecord.inFlight;
   const double step =
     static_cast<double>(hint.stepMicros) / std::max(1U, aInfo.holds.size());
@@ -38,26 +42,27 @@
                               std::max(1.0, static_cast<double>(hint.running)));
   const double wait = static_cast<double>(hint.queued) /
                       std::max(1.0, static_cast<double>(hint.running));
-  // One snapshot of a queue is mostly noise, and all entries would follow the
-  // same noise for as long as the hint stands.
+  // One snapshot of a queue is mostly noise. Without smoothing, all entries
+  // would follow the same noise until the next hint.
   const bool first = aRecord.unitMicros == 0;
-  const double newest = first ? 1 : share;
-  aRecord.unitMicros += newest * (unit - aRecord.unitMicros);
+  const double updateWeight = first ? 1 : weight;
+  aRecord.unitMicros += updateWeight * (unit - aRecord.unitMicros);
   if (hint.attempts > 0) {
     const double seen = static_cast<double>(hint.running + hint.queued);
-    const double presence =
-      std::clamp(seen / hint.attempts, kLeastPresence, 1.0);
-    const double weight = aRecord.presence == 0 ? 1 : share;
-    aRecord.presence += weight * (presence - aRecord.presence);
+    const double activeFraction =
+      std::clamp(seen / hint.attempts, kMinActiveFraction, 1.0);
+    const double activeWeight = aRecord.activeFraction == 0 ? 1 : weight;
+    aRecord.activeFraction +=
+      activeWeight * (activeFraction - aRecord.activeFraction);
   }
   const double running = hint.running;
   if (hint.queued > 0) {
-    // Batches that started while the queue was short are not full: the largest
-    // one seen tells the size, and is slowly forgotten.
-    aRecord.batch += kBatchFade * share * (running - aRecord.batch);
-    aRecord.batch = std::max(aRecord.batch, running);
+    // A batch that started while the queue was short is not full. The largest
+    // batch seen is taken as the size of a full one, and decays slowly.
+    aRecord.batchSize += kBatchDecay * weight * (running - aRecord.batchSize);
+    aRecord.batchSize = std::max(aRecord.batchSize, running);
   }
-  aRecord.waitRatio += newest * (wait - aRecord.waitRatio);
+  aRecord.queueRatio += updateWeight * (wait - aRecord.queueRatio);
 }
 
 Fitness
@@ -68,17 +73,17 @@
   if (aInfo.draining) {
     return Fitness::Unfit;
   }
-  if (aInfo.failures >= kSuspectFailures) {
+  if (aInfo.failures >= kBackoffProbeFailures) {
     return Fitness::BackingOff;
   }
   if (aRecord.failures == 0) {
     return Fitness::Fit;
   }
-  // After its rest a suspect gets one attempt at a time until one goes well:
-  // more would be lost together if it is still ill.
+  // After the backoff the endpoint gets one attempt at a time until one
+  // succeeds: several attempts would fail together if it is still faulty.
   const bool trialOpen = aRecord.inFlight > 0;
-  return aNow < aRecord.restsUntil || trialOpen ? Fitness::BackingOff
-                                                : Fitness::Fit;
+  return aNow < aRecord.backoffUntil || trialOpen ? Fitness::BackingOff
+                                                  : Fitness::Fit;
 }
 
 } // namespace poplartrack
--- a/src/route/FlowBound.cpp
+++ b/src/route/FlowBound.cpp
@@ -7,10 +7,11 @@
 namespace poplartrack {
 namespace {
 
-/** Rounds of halving: the answer is exact to a millionth of a millionth. */
-constexpr int kHalvings = 50;
+/** Steps of the bisection: the error is below 1e-12 of the first interval. */
+constexpr int kBisectionSteps = 50;
 
-/** An endpoint's layer-tokens a second that are not used up yet. */
+/** An endpoint's layers and its layer-tokens per second that are not used
+ * yet. */
 struct Supply
 {
   LayerRange holds;
@@ -18,12 +19,13 @@
 };
 
 /**
- * Whether every layer can be given aRate tokens a second. Each layer is served
- * in order by the endpoints that hold it and end first: those cannot help
- * later layers, so taking them first loses nothing.
+ * Returns whether every layer can get aRate tokens per second. aSupplies must
+ * be in ascending order of holds.to. Each layer uses the endpoints that hold it
+ * in this order: those whose range ends first can help the fewest later layers,
+ * so using them first is optimal.
  */
 bool
-feasible(std::vector<Supply> aSupplies, std::uint32_t aLayers, double aRate)
+isFeasible(std::vector<Supply> aSupplies, std::uint32_t aLayers, double aRate)
 {
   for (std::uint32_t layer = 0; layer < aLayers; ++layer) {
     double needed = aRate;
@@ -35,8 +37,9 @@
       supply.left -= part;
       needed -= part;
     }
-    constexpr double kSlack = 1e-9;
-    if (needed > kSlack * aRate) {
+    // Relative tolerance for rounding errors.
+    constexpr double kTolerance = 1e-9;
+    if (needed > kTolerance * aRate) {
       return false;
     }
   }
@@ -56,7 +59,7 @@
   for (const FlowEndpoint& endpoint : aEndpoints) {
     double rate = endpoint.layerTokensPerSecond;
     if (endpoint.linkTokensPerSecond > 0) {
-      // A token crosses the link once, whatever layers it runs there.
+      // A token crosses the link once, regardless of how many layers it runs.
       rate =
         std::min(rate, endpoint.linkTokensPerSecond * endpoint.holds.size());
     }
@@ -70,9 +73,9 @@
             });
   double low = 0;
   double high = all / aLayers;
-  for (int i = 0; i < kHalvings; ++i) {
+  for (int i = 0; i < kBisectionSteps; ++i) {
     const double middle = low + (high - low) / 2;
-    (feasible(supplies, aLayers, middle) ? low : high) = middle;
+    (isFeasible(supplies, aLayers, middle) ? low : high) = middle;
   }
   return low;
 }
--- a/src/route/LayerGraph.cpp
+++ b/src/route/LayerGraph.cpp
@@ -6,16 +6,18 @@
 namespace poplartrack {
 namespace {
 
-/** A resting candidate that must be used costs this many times as much. */
-constexpr double kRestingFactor = 8;
-/** With more zones the first stage's zone is no longer part of the search:
- * its cost grows with the third power of the zones. */
-constexpr std::uint32_t kMaxClosedZones = 6;
+/** Factor on the cost of a candidate in backoff that must be used. */
+constexpr double kBackoffCostFactor = 8;
+/** Up to this number of zones, the search runs once per zone of the first
+ * stage, so that the cost of the hop back to the first stage is exact. The time
+ * of this grows with the third power of the number of zones. */
+constexpr std::uint32_t kMaxExactZones = 6;
 
 } // namespace
 
 std::vector<LayerRange>
-uncovered(const std::vector<Candidate>& aCandidates, std::uint32_t aLayers)
+uncoveredLayers(const std::vector<Candidate>& aCandidates,
+                std::uint32_t aLayers)
 {
   std::vector<LayerRange> held;
   held.reserve(aCandidates.size());
@@ -42,9 +44,9 @@
 }
 
 std::vector<std::uint32_t>
-cutsOf(const std::vector<Candidate>& aCandidates,
-       std::uint32_t aLayers,
-       std::uint32_t aMaxCuts)
+cutPoints(const std::vector<Candidate>& aCandidates,
+          std::uint32_t aLayers,
+          std::uint32_t aMaxCuts)
 {
   std::vector<std::uint32_t> uses(aLayers + 1, 0);
   std::vector<std::uint32_t> reach(aLayers + 1, 0);
@@ -65,8 +67,8 @@
     }
   }
   if (cuts.size() > aMaxCuts) {
-    // Thin out, but keep the cuts of the cover with the fewest stages: without
-    // them a covered model might be left without a route.
+    // Keep the most used cut points and those of the cover with the fewest
+    // stages: without these a covered model might get no route.
     std::uint32_t best = 0;
     std::uint32_t end = 0;
     for (std::uint32_t layer = 0; layer < aLayers; ++layer) {
@@ -106,9 +108,9 @@
 }
 
 std::size_t
-LayerGraph::edgeAt(std::uint32_t aFrom,
-                   std::uint32_t aTo,
-                   std::uint32_t aZone) const
+LayerGraph::edgeIndex(std::uint32_t aFrom,
+                      std::uint32_t aTo,
+                      std::uint32_t aZone) const
 {
   return (static_cast<std::size_t>(aFrom) * this->cuts.size() + aTo) *
            this->zoneCount +
@@ -122,32 +124,33 @@
 {
   this->edges.assign(this->cuts.size() * this->cuts.size() * this->zoneCount,
                      Edge{});
-  std::uniform_real_distribution<double> draw(1.0, 1.0 + aSpread);
+  std::uniform_real_distribution<double> randomFactor(1.0, 1.0 + aSpread);
   for (std::uint32_t i = 0; i < this->candidates.size(); ++i) {
     const Fitness fitness = this->candidates[i].fitness;
-    const bool resting = fitness == Fitness::BackingOff;
-    if (fitness == Fitness::Unfit || (resting && !aWithBackingOff)) {
+    const bool backingOff = fitness == Fitness::BackingOff;
+    if (fitness == Fitness::Unfit || (backingOff && !aWithBackingOff)) {
       continue;
     }
-    this->offer(i, draw(aRandom) * (resting ? kRestingFactor : 1));
+    this->addEdges(
+      i, randomFactor(aRandom) * (backingOff ? kBackoffCostFactor : 1));
   }
 }
 
 void
-LayerGraph::offer(std::uint32_t aIndex, double aFactor)
+LayerGraph::addEdges(std::uint32_t aIndex, double aFactor)
 {
   const Candidate& candidate = this->candidates[aIndex];
   const LayerRange& holds = candidate.info->holds;
   const double perLayer =
-    candidate.layerMicros * candidate.price *
-    (this->work.steps + this->work.prefillWork * candidate.prefillPart);
+    candidate.layerMicros * candidate.costFactor *
+    (this->work.steps + this->work.prefillWork * candidate.prefillFraction);
   const double fixed = 2 * candidate.extraLinkMicros * this->work.steps;
   const auto first =
     std::lower_bound(this->cuts.begin(), this->cuts.end(), holds.from);
   for (auto from = first; from != this->cuts.end(); ++from) {
     for (auto to = from + 1; to != this->cuts.end() && *to <= holds.to; ++to) {
       const double cost = (perLayer * (*to - *from) + fixed) * aFactor;
-      Edge& edge = this->edges[this->edgeAt(
+      Edge& edge = this->edges[this->edgeIndex(
         static_cast<std::uint32_t>(from - this->cuts.begin()),
         static_cast<std::uint32_t>(to - this->cuts.begin()),
         candidate.zone)];
@@ -168,7 +171,7 @@
                          std::uint32_t aFromZone,
                          std::uint32_t aToZone,
                          double aBefore) {
-    const Edge& edge = this->edges[this->edgeAt(aFrom, aTo, aToZone)];
+    const Edge& edge = this->edges[this->edgeIndex(aFrom, aTo, aToZone)];
     if (edge.candidate == kNone) {
       return;
     }
@@ -204,30 +207,31 @@
 }
 
 double
-LayerGraph::total(const std::vector<Node>& aNodes,
-                  std::uint32_t aLastZone,
-                  std::uint32_t aFirstZone) const
+LayerGraph::pathCost(const std::vector<Node>& aNodes,
+                     std::uint32_t aLastZone,
+                     std::uint32_t aFirstZone) const
 {
   const Node& node =
     aNodes[(this->cuts.size() - 1) * this->zoneCount + aLastZone];
   if (!node.reached) {
     return std::numeric_limits<double>::infinity();
   }
-  // Each next step starts at the first stage again: the hop back counts.
+  // Each further step starts at the first stage again, so the hop back to it is
+  // part of the cost.
   const std::uint32_t first = aFirstZone == kNone ? 0 : aFirstZone;
   return node.cost + (this->work.steps - 1) * this->zones.hop(aLastZone, first);
 }
 
 std::vector<PathStage>
-LayerGraph::trace(const std::vector<Node>& aNodes,
-                  std::uint32_t aLastZone) const
+LayerGraph::tracePath(const std::vector<Node>& aNodes,
+                      std::uint32_t aLastZone) const
 {
   std::vector<PathStage> path;
   auto cut = static_cast<std::uint32_t>(this->cuts.size() - 1);
   std::uint32_t zone = aLastZone;
   while (cut != 0) {
     const Node& node = aNodes[cut * this->zoneCount + zone];
-    const Edge& edge = this->edges[this->edgeAt(node.fromCut, cut, zone)];
+    const Edge& edge = this->edges[this->edgeIndex(node.fromCut, cut, zone)];
     path.push_back(
       PathStage{ edge.candidate,
                  LayerRange{ this->cuts[node.fromCut], this->cuts[cut] } });
@@ -241,9 +245,10 @@
 namespace {
 
 /**
- * A side takes one stage of an attempt. Where the search used a candidate
- * twice, it holds all layers between as well (ranges have no holes): so it
- * runs them all, and the stages between go.
+ * Returns the path with each candidate used once: a side runs only one stage of
+ * an attempt. A candidate that the search has used twice also holds all layers
+ * in between, since ranges have no gaps. It runs all of them, and the stages in
+ * between are removed.
  */
 std::vector<PathStage>
 withoutRepeats(const std::vector<PathStage>& aPath)
@@ -269,18 +274,18 @@
 std::vector<PathStage>
 LayerGraph::cheapest() const
 {
-  const bool closed = this->zoneCount <= kMaxClosedZones;
+  const bool exact = this->zoneCount <= kMaxExactZones;
   double best = std::numeric_limits<double>::infinity();
   std::vector<PathStage> path;
-  const std::uint32_t searches = closed ? this->zoneCount : 1;
+  const std::uint32_t searches = exact ? this->zoneCount : 1;
   for (std::uint32_t i = 0; i < searches; ++i) {
-    const std::uint32_t first = closed ? i : kNone;
+    const std::uint32_t first = exact ? i : kNone;
     const std::vector<Node> nodes = this->search(first);
     for (std::uint32_t last = 0; last < this->zoneCount; ++last) {
-      const double cost = this->total(nodes, last, first);
+      const double cost = this->pathCost(nodes, last, first);
       if (cost < best) {
         best = cost;
-        path = this->trace(nodes, last);
+        path = this->tracePath(nodes, last);
       }
     }
   }
--- a/src/route/PrefixHome.cpp
+++ b/src/route/PrefixAffinity.cpp
@@ -1,4 +1,4 @@
-#include "poplartrack/route/PrefixHome.h"
+#include "poplartrack/route/PrefixAffinity.h"
 
 #include <map>
 #include <utility>
@@ -8,9 +8,9 @@
 namespace poplartrack {
 
 void
-preferWarm(std::vector<Candidate>& aCandidates,
-           std::uint64_t aPrefixHash,
-           const RoutePolicy& aPolicy)
+applyPrefixAffinity(std::vector<Candidate>& aCandidates,
+                    std::uint64_t aPrefixHash,
+                    const RoutePolicy& aPolicy)
 {
   /** The best candidate of one range so far. */
   struct Best
@@ -18,15 +18,15 @@
     std::uint64_t score = 0;
     Candidate* candidate = nullptr;
   };
-  double total = 0;
+  double totalLoad = 0;
   for (const Candidate& candidate : aCandidates) {
-    total += candidate.load;
+    totalLoad += candidate.load;
   }
-  const double mean = total / static_cast<double>(aCandidates.size());
-  // Bounded load: past the bound the prefix moves on to its next home, so a
-  // prefix that everybody asks for cannot make a hot spot.
+  const double mean = totalLoad / static_cast<double>(aCandidates.size());
+  // Bounded load: above the bound the prefix moves to the candidate with the
+  // next highest score, so that a popular prefix cannot overload one endpoint.
   const double bound = aPolicy.prefixLoadBound * mean + 1;
-  std::map<std::pair<std::uint32_t, std::uint32_t>, Best> homes;
+  std::map<std::pair<std::uint32_t, std::uint32_t>, Best> bestByRange;
   for (Candidate& candidate : aCandidates) {
     if (candidate.load > bound || candidate.fitness != Fitness::Fit) {
       continue;
@@ -35,13 +35,13 @@
     const std::uint64_t score =
       XXH3_64bits_withSeed(name.data(), name.size(), aPrefixHash);
     const LayerRange& holds = candidate.info->holds;
-    Best& best = homes[{ holds.from, holds.to }];
+    Best& best = bestByRange[{ holds.from, holds.to }];
     if (best.candidate == nullptr || score > best.score) {
       best = Best{ score, &candidate };
     }
   }
-  for (auto& [range, best] : homes) {
-    best.candidate->prefillPart = 1 - aPolicy.prefixSaving;
+  for (auto& [range, best] : bestByRange) {
+    best.candidate->prefillFraction = 1 - aPolicy.prefixSaving;
   }
 }
 
--- a/src/route/RouteChooser.cpp
+++ b/src/route/RouteChooser.cpp
@@ -8,15 +8,16 @@
 
 #include "poplartrack/route/EndpointEstimate.h"
 #include "poplartrack/route/LayerGraph.h"
-#include "poplartrack/route/PrefixHome.h"
+#include "poplartrack/route/PrefixAffinity.h"
 #include "poplartrack/route/ZoneTable.h"
 
 namespace poplartrack {
 namespace {
 
-/** Records of endpoints that are gone are dropped after this. */
-constexpr Duration kForgetAfter = std::chrono::minutes{ 10 };
-constexpr Duration kForgetEvery = std::chrono::minutes{ 1 };
+/** Unused records are removed after this time. */
+constexpr Duration kRecordLifetime = std::chrono::minutes{ 10 };
+/** Interval between two removals of unused records. */
+constexpr Duration kForgetInterval = std::chrono::minutes{ 1 };
 
 Duration
 micros(double aMicros)
@@ -24,8 +25,10 @@
   return Duration{ static_cast<std::int64_t>(aMicros) };
 }
 
+/** Returns whether the endpoint holds layers of the requested model and may be
+ * used. */
 bool
-serves(const EndpointInfo& aInfo, const RouteQuery& aQuery)
+canServe(const EndpointInfo& aInfo, const RouteQuery& aQuery)
 {
   return aInfo.model == aQuery.model &&
          aInfo.modelVersion == aQuery.modelVersion && aInfo.holds.size() > 0 &&
@@ -33,7 +36,8 @@
          (aQuery.avoid.empty() || !aQuery.avoid.contains(aInfo.name));
 }
 
-/** The one-way link to the endpoint beyond what its zone costs. */
+/** Returns by how much the measured one-way link time, in microseconds, exceeds
+ * that of the endpoint's zone. */
 double
 extraLink(const EndpointInfo& aInfo, double aZoneLink)
 {
@@ -42,6 +46,7 @@
   return std::max(0.0, measured - aZoneLink);
 }
 
+/** Returns the error detail that names the layers without an endpoint. */
 std::string
 describeGaps(const std::vector<LayerRange>& aGaps, const RouteQuery& aQuery)
 {
@@ -55,19 +60,19 @@
 }
 
 RouteStage
-stageOf(const EndpointInfo& aInfo, const LayerRange& aRuns)
+makeStage(const EndpointInfo& aInfo, const LayerRange& aRuns)
 {
   return RouteStage{ aInfo.name, aInfo.incarnation, aInfo.address, aRuns };
 }
 
-/** Builds the plan of a path at its expected, undrawn cost, and notes at each
- * endpoint what was expected of it. */
+/** Builds the plan of a path with its expected times, without the random
+ * factor, and records the expectations in the record of each endpoint. */
 RoutePlan
-planOf(const std::vector<PathStage>& aPath,
-       const std::vector<Candidate>& aCandidates,
-       const ZoneTable& aZones,
-       const PathWork& aWork,
-       double aPace)
+makePlan(const std::vector<PathStage>& aPath,
+         const std::vector<Candidate>& aCandidates,
+         const ZoneTable& aZones,
+         const PathWork& aWork,
+         double aGapRatio)
 {
   RoutePlan plan;
   double perToken = 0;
@@ -79,23 +84,24 @@
     const double hop =
       aZones.hop(before, candidate.zone) + 2 * candidate.extraLinkMicros;
     const double step = candidate.layerMicros * stage.runs.size();
-    candidate.record->expectedMicros = candidate.layerMicros;
+    candidate.record->expectedLayerMicros = candidate.layerMicros;
     candidate.record->expectedHopMicros = hop;
     perToken += step + hop;
-    wait += step * candidate.waitPart;
-    prefill += step * aWork.prefillSteps * candidate.prefillPart;
+    wait += step * candidate.queueFraction;
+    prefill += step * aWork.prefillSteps * candidate.prefillFraction;
     before = candidate.zone;
-    plan.route.push_back(stageOf(*candidate.info, stage.runs));
+    plan.route.push_back(makeStage(*candidate.info, stage.runs));
   }
   const std::uint32_t first = aCandidates[aPath.front().candidate].zone;
   const double toEntry = aZones.hop(0, first) + aZones.hop(before, 0);
-  plan.expectedPerToken = micros(aPace * perToken);
-  plan.expectedWait = micros(aPace * wait);
-  plan.expectedFirstToken = micros(aPace * (perToken + prefill) + toEntry);
+  plan.expectedPerToken = micros(aGapRatio * perToken);
+  plan.expectedWait = micros(aGapRatio * wait);
+  plan.expectedFirstToken = micros(aGapRatio * (perToken + prefill) + toEntry);
   return plan;
 }
 
-/** Whether the plan leaves a fifth of the time for what goes wrong. */
+/** Returns whether the plan leaves a fifth of the remaining time as a reserve
+ * for failures. */
 bool
 fitsDeadline(const RoutePlan& aPlan, const RouteQuery& aQuery)
 {
@@ -105,11 +111,12 @@
   const std::uint32_t more = std::max(aQuery.tokensWanted, 1U) - 1;
   const Duration expected =
     aPlan.expectedFirstToken + more * aPlan.expectedPerToken;
-  constexpr double kPartOfTime = 0.8;
+  constexpr double kUsableTimeFraction = 0.8;
   return static_cast<double>(expected.count()) <=
-         kPartOfTime * static_cast<double>(aQuery.remaining.count());
+         kUsableTimeFraction * static_cast<double>(aQuery.remaining.count());
 }
 
+/** Returns what is wrong with the policy, or an empty string. */
 std::string
 checkPolicy(const RoutePolicy& aPolicy)
 {
@@ -118,7 +125,7 @@
   }
   if (aPolicy.hintHalfLife <= Duration{ 0 } ||
       aPolicy.slowStart <= Duration{ 0 } ||
-      aPolicy.firstRest <= Duration{ 0 }) {
+      aPolicy.initialBackoff <= Duration{ 0 }) {
     return "route policy: a time is not above 0";
   }
   if (aPolicy.prefixSaving < 0 || aPolicy.prefixSaving > 1) {
@@ -154,13 +161,13 @@
   std::vector<Candidate> candidates;
   candidates.reserve(aView.endpoints.size());
   for (const EndpointInfo& info : aView.endpoints) {
-    if (!serves(info, aQuery)) {
+    if (!canServe(info, aQuery)) {
       continue;
     }
     Candidate candidate;
     candidate.info = &info;
-    candidate.record = &this->known.at(info.name, aNow);
-    takeHint(info, this->policy, *candidate.record);
+    candidate.record = &this->records.at(info.name, aNow);
+    applyHint(info, this->policy, *candidate.record);
     candidate.fitness = fitnessOf(info, *candidate.record, aNow);
     if (candidate.fitness == Fitness::Unfit) {
       continue;
@@ -184,44 +191,47 @@
   ZoneTable zones(this->policy, aQuery.fromZone, aQuery.fromRegion);
   std::vector<Candidate> candidates =
     this->candidatesOf(aView, aQuery, zones, aNow);
-  zones.seal();
-  const std::vector<LayerRange> gaps = uncovered(candidates, aQuery.layers);
+  zones.computeHops();
+  const std::vector<LayerRange> gaps =
+    uncoveredLayers(candidates, aQuery.layers);
   if (!gaps.empty()) {
     return fail(ErrorKind::NoRoute, describeGaps(gaps, aQuery));
   }
   estimate(candidates, this->policy, aNow);
   if (aQuery.prefixHash != 0) {
-    preferWarm(candidates, aQuery.prefixHash, this->policy);
+    applyPrefixAffinity(candidates, aQuery.prefixHash, this->policy);
   }
   const double prefill = aQuery.prefillTokens * this->policy.prefillTokenCost;
   const PathWork work{ std::max(1.0, static_cast<double>(aQuery.tokensWanted)),
                        prefill,
                        prefill * (this->policy.batchKnee + 1) };
   const std::vector<std::uint32_t> cuts =
-    cutsOf(candidates, aQuery.layers, this->policy.maxCuts);
+    cutPoints(candidates, aQuery.layers, this->policy.maxCuts);
   LayerGraph graph(candidates, cuts, zones, work);
   const std::vector<PathStage> path = this->cheapest(graph);
   if (path.empty()) {
     return fail(ErrorKind::NoRoute, aQuery.model + ": ranges do not join");
   }
-  RoutePlan plan = planOf(path, candidates, zones, work, this->pace);
+  RoutePlan plan = makePlan(path, candidates, zones, work, this->gapRatio);
   if (fitsDeadline(plan, aQuery)) {
     return plan;
   }
-  // The price of crowding leads some requests over slow endpoints for the good
-  // of all. One that has no time for that takes the quickest way there is.
+  // The congestion factor sends some requests to slow endpoints so that all
+  // endpoints are used evenly. A request that would miss its deadline there
+  // gets the fastest route instead.
   for (Candidate& candidate : candidates) {
-    candidate.price = 1;
+    candidate.costFactor = 1;
   }
-  return planOf(this->cheapest(graph), candidates, zones, work, this->pace);
+  return makePlan(
+    this->cheapest(graph), candidates, zones, work, this->gapRatio);
 }
 
 std::vector<PathStage>
 RouteChooser::cheapest(LayerGraph& aGraph)
 {
   std::vector<PathStage> path;
-  for (const bool withResting : { false, true }) {
-    aGraph.buildEdges(withResting, this->policy.spread, this->random);
+  for (const bool withBackingOff : { false, true }) {
+    aGraph.buildEdges(withBackingOff, this->policy.spread, this->random);
     path = aGraph.cheapest();
     if (!path.empty()) {
       break;
@@ -239,22 +249,23 @@
 {
   const EndpointInfo* best = nullptr;
   double bestCost = std::numeric_limits<double>::infinity();
-  std::uniform_real_distribution<double> draw(1.0, 1.0 + this->policy.spread);
+  std::uniform_real_distribution<double> randomFactor(
+    1.0, 1.0 + this->policy.spread);
   for (const EndpointInfo& info : aView.endpoints) {
     if (info.service != aService || aAvoid.contains(info.name)) {
       continue;
     }
-    const EndpointRecord& record = this->known.at(info.name, aNow);
+    const EndpointRecord& record = this->records.at(info.name, aNow);
     const Fitness fitness = fitnessOf(info, record, aNow);
     if (fitness == Fitness::Unfit) {
       continue;
     }
-    // Resting endpoints come after all fit ones, whatever their wait.
-    constexpr double kAfterAllOthers = 1e12;
+    // Endpoints in backoff come after all fit ones, regardless of their wait.
+    constexpr double kBackoffPenalty = 1e12;
     double cost =
-      this->plainWait(info, record, aZone, aNow) * draw(this->random);
+      this->plainWait(info, record, aZone, aNow) * randomFactor(this->random);
     if (fitness == Fitness::BackingOff) {
-      cost += kAfterAllOthers;
+      cost += kBackoffPenalty;
     }
     if (cost < bestCost) {
       bestCost = cost;
@@ -293,8 +304,8 @@
   if (aNow < this->nextForget) {
     return;
   }
-  this->nextForget = aNow + kForgetEvery;
-  this->known.forget(aNow - kForgetAfter);
+  this->nextForget = aNow + kForgetInterval;
+  this->records.forget(aNow - kRecordLifetime);
 }
 
 } // namespace poplartrack
--- a/src/route/RouteFeedback.cpp
+++ b/src/route/RouteFeedback.cpp
@@ -3,26 +3,29 @@
 #include <algorithm>
 #include <cmath>
 
-// What the chooser learns from its own traffic.
+// The part of RouteChooser that learns from the entry's own traffic.
 
 namespace poplartrack {
 namespace {
 
-/** How fast learnt slowness follows one token's gap. */
-constexpr double kLearningRate = 0.02;
-/** How fast the general pace follows one token's gap, and its range. Steps that
- * arrive while a batch runs wait for its end: no stage is slow, but deadlines
- * and patience must count it. */
-constexpr double kPaceRate = 0.002;
-constexpr double kLeastPace = 0.5;
-constexpr double kMostPace = 5;
-/** Gaps up to this multiple of what was expected teach nothing: they are the
- * noise of queues, and learning from noise makes entries chase each other. */
-constexpr double kNoise = 1.5;
-/** What one stall adds to the slowness of all stages together: no token comes
- * from which it could be learnt. */
-constexpr double kStallFactor = 2;
-constexpr double kMostSlowness = 32;
+/** Exponent by which the gap of one token changes the learnt slowness of all
+ * stages together. */
+constexpr double kSlownessRate = 0.02;
+/** Smoothing factor of RouteChooser::gapRatio per token, and its range. Steps
+ * that arrive while a batch runs wait for its end. No stage is slow then, but
+ * deadlines and timeouts must include this wait. */
+constexpr double kGapRatioRate = 0.002;
+constexpr double kMinGapRatio = 0.5;
+constexpr double kMaxGapRatio = 5;
+/** Gaps up to this multiple of the expected ones do not raise the slowness:
+ * they are noise of the queues, and entries that learn from noise react to each
+ * other. */
+constexpr double kNoiseRatio = 1.5;
+/** Factor of one stall on the slowness of all stages together: during a stall
+ * there are no tokens from which the slowness could be learnt. */
+constexpr double kStallSlowdown = 2;
+/** Upper bound of the learnt slowness. */
+constexpr double kMaxSlowness = 32;
 
 } // namespace
 
@@ -35,12 +38,12 @@
 }
 
 void
-RouteChooser::onRouteEnded(const Route& aRoute, bool aWell, TimePoint aNow)
+RouteChooser::onRouteEnded(const Route& aRoute, bool aSucceeded, TimePoint aNow)
 {
   for (const RouteStage& stage : aRoute) {
-    EndpointRecord& record = this->known.at(stage.endpoint, aNow);
+    EndpointRecord& record = this->records.at(stage.endpoint, aNow);
     record.inFlight -= std::min(record.inFlight, 1U);
-    if (aWell) {
+    if (aSucceeded) {
       this->onEndpointSucceeded(stage.endpoint);
     }
   }
@@ -51,26 +54,27 @@
 {
   double expected = 0;
   for (const RouteStage& stage : aRoute) {
-    const EndpointRecord& record = this->known.at(stage.endpoint, aNow);
-    expected += record.expectedMicros * stage.runs.size();
+    const EndpointRecord& record = this->records.at(stage.endpoint, aNow);
+    expected += record.expectedLayerMicros * stage.runs.size();
     expected += record.expectedHopMicros;
   }
   if (expected <= 0 || aGap <= Duration{ 0 }) {
     return;
   }
   const double ratio = static_cast<double>(aGap.count()) / expected;
-  this->pace +=
-    kPaceRate * (std::clamp(ratio, kLeastPace, kMostPace) - this->pace);
-  const double excess = ratio / (kNoise * this->pace);
-  const double rate = kLearningRate / static_cast<double>(aRoute.size());
-  // Nobody sees a single stage's time from here, and what a liar expects says
-  // nothing: all stages are blamed alike. The many good tokens of its other
-  // routes clear an innocent one again.
+  this->gapRatio +=
+    kGapRatioRate *
+    (std::clamp(ratio, kMinGapRatio, kMaxGapRatio) - this->gapRatio);
+  const double excess = ratio / (kNoiseRatio * this->gapRatio);
+  const double rate = kSlownessRate / static_cast<double>(aRoute.size());
+  // The entry cannot measure the time of a single stage, and the hints of a
+  // slow endpoint may be wrong, so the slowness of all stages changes alike.
+  // Tokens of other routes lower it again for the stages that are not slow.
   for (const RouteStage& stage : aRoute) {
-    EndpointRecord& record = this->known.at(stage.endpoint, aNow);
+    EndpointRecord& record = this->records.at(stage.endpoint, aNow);
     const double factor =
       excess > 1 ? std::pow(excess, rate) : std::pow(record.slowness, -rate);
-    record.slowness = std::clamp(record.slowness * factor, 1.0, kMostSlowness);
+    record.slowness = std::clamp(record.slowness * factor, 1.0, kMaxSlowness);
     record.lastUsed = aNow;
   }
 }
@@ -79,10 +83,10 @@
 RouteChooser::onStalled(const Route& aRoute, TimePoint aNow)
 {
   const double factor =
-    std::pow(kStallFactor, 1 / static_cast<double>(aRoute.size()));
+    std::pow(kStallSlowdown, 1 / static_cast<double>(aRoute.size()));
   for (const RouteStage& stage : aRoute) {
-    EndpointRecord& record = this->known.at(stage.endpoint, aNow);
-    record.slowness = std::min(record.slowness * factor, kMostSlowness);
+    EndpointRecord& record = this->records.at(stage.endpoint, aNow);
+    record.slowness = std::min(record.slowness * factor, kMaxSlowness);
     record.lastUsed = aNow;
   }
 }
@@ -90,49 +94,51 @@
 void
 RouteChooser::onEndpointFailed(std::string_view aEndpoint, TimePoint aNow)
 {
-  EndpointRecord& record = this->known.at(aEndpoint, aNow);
-  // What was in flight when it fell fails all at once: one failure, not many.
-  if (record.failures > 0 && aNow < record.restsUntil) {
+  EndpointRecord& record = this->records.at(aEndpoint, aNow);
+  // All work that was in flight when the endpoint failed fails at once and
+  // counts as one failure.
+  if (record.failures > 0 && aNow < record.backoffUntil) {
     return;
   }
-  constexpr std::uint32_t kMostDoublings = 16;
-  const std::uint32_t doublings = std::min(record.failures, kMostDoublings);
+  constexpr std::uint32_t kMaxDoublings = 16;
+  const std::uint32_t doublings = std::min(record.failures, kMaxDoublings);
   ++record.failures;
-  const Duration rest = this->policy.firstRest * (1U << doublings);
-  std::uniform_real_distribution<double> draw(1.0, 1.0 + this->policy.spread);
-  const double spreadOut = draw(this->random);
+  const Duration backoff = this->policy.initialBackoff * (1U << doublings);
+  std::uniform_real_distribution<double> randomFactor(
+    1.0, 1.0 + this->policy.spread);
+  const double jitter = randomFactor(this->random);
   const auto capped =
-    static_cast<double>(std::min(rest, this->policy.longestRest).count());
-  record.restsUntil =
-    aNow + Duration{ static_cast<std::int64_t>(capped * spreadOut) };
+    static_cast<double>(std::min(backoff, this->policy.maxBackoff).count());
+  record.backoffUntil =
+    aNow + Duration{ static_cast<std::int64_t>(capped * jitter) };
 }
 
 void
 RouteChooser::onEndpointSucceeded(std::string_view aEndpoint)
 {
-  EndpointRecord* record = this->known.find(aEndpoint);
+  EndpointRecord* record = this->records.find(aEndpoint);
   if (record != nullptr) {
     record->failures = 0;
-    record->restsUntil = TimePoint{};
+    record->backoffUntil = TimePoint{};
   }
 }
 
 void
 RouteChooser::onPlainStarted(const std::string& aEndpoint, TimePoint aNow)
 {
-  EndpointRecord& record = this->known.at(aEndpoint, aNow);
+  EndpointRecord& record = this->records.at(aEndpoint, aNow);
   ++record.inFlight;
   record.lastUsed = aNow;
 }
 
 void
 RouteChooser::onPlainEnded(const std::string& aEndpoint,
-                           bool aWell,
+                           bool aSucceeded,
                            TimePoint aNow)
 {
-  EndpointRecord& record = this->known.at(aEndpoint, aNow);
+  EndpointRecord& record = this->records.at(aEndpoint, aNow);
   record.inFlight -= std::min(record.inFlight, 1U);
-  if (aWell) {
+  if (aSucceeded) {
     this->onEndpointSucceeded(aEndpoint);
   } else {
     this->onEndpointFailed(aEndpoint, aNow);
--- a/src/route/ZoneTable.cpp
+++ b/src/route/ZoneTable.cpp
@@ -34,7 +34,7 @@
 }
 
 void
-ZoneTable::seal()
+ZoneTable::computeHops()
 {
   this->width = this->size();
   this->hops.resize(static_cast<std::size_t>(this->width) * this->width);
--- a/tests/unit/route/FlowBoundTest.cpp
+++ b/tests/unit/route/FlowBoundTest.cpp
@@ -11,7 +11,7 @@
 namespace poplartrack {
 namespace {
 
-TEST(FlowBound, theNarrowestLayersDecide)
+TEST(FlowBound, theSlowestLayersLimitTheFlow)
 {
   EXPECT_NEAR(
     flowBound({ { { 0, 4 }, 400, 0 }, { { 4, 8 }, 100, 0 } }, 8), 25, 1e-6);
@@ -19,28 +19,31 @@
 
 TEST(FlowBound, anOverlappingEndpointHelpsWhereItIsNeeded)
 {
-  // The back needs 4 layers from the second endpoint alone, which leaves
-  // nothing for the front: each passes 100 tokens.
+  // Only the second endpoint holds layers 4 to 7. Running these 4 layers at 100
+  // tokens per second uses all of its 400, which leaves nothing for layers 0 to
+  // 3: the first endpoint runs these at 100 as well.
   EXPECT_NEAR(
     flowBound({ { { 0, 4 }, 400, 0 }, { { 0, 8 }, 400, 0 } }, 8), 100, 1e-6);
 }
 
-TEST(FlowBound, aThinLinkCapsWhatPassesThroughAnEndpoint)
+TEST(FlowBound, aSlowLinkLimitsTheFlowThroughAnEndpoint)
 {
   EXPECT_NEAR(
     flowBound({ { { 0, 8 }, 800, 10 }, { { 0, 8 }, 80, 0 } }, 8), 20, 1e-6);
 }
 
-TEST(FlowBound, aHoleMeansNothingFlows)
+TEST(FlowBound, anUncoveredLayerMeansNoFlow)
 {
   EXPECT_NEAR(
     flowBound({ { { 0, 3 }, 800, 0 }, { { 4, 8 }, 80, 0 } }, 8), 0, 1e-6);
 }
 
-/** Hall's condition: for each set of layers, the endpoints that hold any of it
- * must carry it. Without thin links that is the max flow exactly. */
+/** Returns the exact maximum flow without link limits, by Hall's condition: for
+ * each set of layers, the endpoints that hold any of them must run all of
+ * them. */
 double
-byEverySet(const std::vector<FlowEndpoint>& aEndpoints, std::uint32_t aLayers)
+flowByAllSets(const std::vector<FlowEndpoint>& aEndpoints,
+              std::uint32_t aLayers)
 {
   double least = 1e18;
   for (std::uint32_t set = 1; set < (1U << aLayers); ++set) {
@@ -56,7 +59,7 @@
 }
 
 RC_GTEST_PROP(FlowBound,
-              agreesWithTheCutOverEverySetOfLayers,
+              agreesWithTheMinimumOverAllSetsOfLayers,
               (std::uint64_t aSeed))
 {
   std::mt19937_64 random(aSeed);
@@ -70,7 +73,7 @@
     endpoints.push_back(
       { { from, to }, static_cast<double>(1 + random() % 100), 0 });
   }
-  const double wanted = byEverySet(endpoints, kLayers);
+  const double wanted = flowByAllSets(endpoints, kLayers);
   const double got = flowBound(endpoints, kLayers);
   RC_ASSERT(got <= wanted * (1 + 1e-6) + 1e-9);
   RC_ASSERT(got >= wanted * (1 - 1e-6) - 1e-9);
--- a/tests/unit/route/RouteChooserTest.cpp
+++ b/tests/unit/route/RouteChooserTest.cpp
@@ -58,8 +58,8 @@
   return policy;
 }
 
-/** How often each endpoint is in the routes of this many decisions, each of
- * which starts and none of which ends. */
+/** Chooses and starts aCount routes, none of which ends. Returns how often each
+ * endpoint is used. */
 std::map<std::string, int>
 startMany(RouteChooser& aChooser,
           const EndpointView& aView,
@@ -79,7 +79,7 @@
 }
 
 RC_GTEST_PROP(RouteChooser,
-              aRouteCoversEachLayerOnceFromWhatIsHeldAndAllowed,
+              aRouteCoversEachLayerOnceWithAllowedEndpoints,
               (std::uint64_t aSeed))
 {
   std::mt19937_64 random(aSeed);
@@ -130,7 +130,7 @@
   RC_ASSERT(next == kLayers);
 }
 
-TEST(RouteChooser, namesTheLayersThatNobodyHolds)
+TEST(RouteChooser, reportsTheLayersWithoutAnEndpoint)
 {
   EndpointView view;
   view.endpoints = { engine("a", { 0, 4 }), engine("b", { 8, 12 }) };
@@ -141,7 +141,7 @@
     << plan.error().detail;
 }
 
-TEST(RouteChooser, loadFollowsTheAcceleratorsSpeed)
+TEST(RouteChooser, fasterEndpointsGetMoreLoad)
 {
   EndpointView view;
   view.endpoints = { engine("fast", { 0, 12 }), engine("slow", { 0, 12 }) };
@@ -152,7 +152,7 @@
   EXPECT_GT(counts.at("slow"), 5);
 }
 
-TEST(RouteChooser, staysInTheZoneWhileItIsNoSlower)
+TEST(RouteChooser, staysInTheRegionIfItIsNoSlower)
 {
   EndpointView view;
   view.endpoints = { engine("near", { 0, 6 }),
@@ -163,7 +163,7 @@
   EXPECT_FALSE(startMany(choice, view, 20).contains("far"));
 }
 
-TEST(RouteChooser, aMeasuredSlowLinkCounts)
+TEST(RouteChooser, avoidsAnEndpointWithAMeasuredSlowLink)
 {
   EndpointView view;
   view.endpoints = { engine("near", { 0, 12 }), engine("linked", { 0, 12 }) };
@@ -172,11 +172,12 @@
   EXPECT_FALSE(startMany(choice, view, 10).contains("linked"));
 }
 
-TEST(RouteChooser, aFreshReplicaIsNotFlooded)
+TEST(RouteChooser, aNewEndpointIsNotFlooded)
 {
-  // What the caller sees: answers slow down for all when a replica joins. An
-  // idle newcomer is the cheapest in every entry's view until hints catch up;
-  // without slow start each entry sends it everything meanwhile.
+  // Guards against answers that become slow for all callers when an endpoint is
+  // added. A new idle endpoint is the cheapest one for every entry until its
+  // hints show the load; without slow start each entry would send it
+  // everything.
   EndpointView view;
   for (int i = 0; i < 4; ++i) {
     view.endpoints.push_back(engine("old" + std::to_string(i), { 0, 12 }));
@@ -211,11 +212,11 @@
   EXPECT_LE(startMany(choice, view, 40)["e0"], 20);
 }
 
-TEST(RouteChooser, aLiarIsFoundOutByItsTokens)
+TEST(RouteChooser, wrongHintsAreDetectedByTokenGaps)
 {
-  // What the caller sees: slow answers from routes that look best. An endpoint
-  // reports a tenth of its step; the gaps between tokens tell the entry, which
-  // then trusts the report by a tenth only.
+  // Guards against slow answers from routes that look best. An endpoint reports
+  // a tenth of its step time. The entry learns this from the gaps between
+  // tokens and multiplies the reported time by the learnt slowness.
   EndpointView view;
   view.endpoints = { engine("honest", { 0, 12 }), engine("liar", { 0, 12 }) };
   view.endpoints[1].load.stepMicros /= 10;
@@ -232,10 +233,11 @@
             "honest");
 }
 
-TEST(RouteChooser, expectationsFollowThePaceThatAllTokensCome)
+TEST(RouteChooser, expectedTimesFollowTheMeasuredTokenGaps)
 {
-  // What the caller sees: requests are let in that end late. Steps wait for
-  // the batch before them, which no hint tells; the gaps do, alike at all.
+  // Guards against admitted requests that miss their deadlines. Steps wait for
+  // the batch that runs before them. No hint includes this wait, but the gaps
+  // between tokens do, alike for all endpoints.
   EndpointView view;
   view.endpoints = { engine("a", { 0, 12 }), engine("b", { 0, 12 }) };
   RouteChooser choice = chooser();
@@ -251,7 +253,7 @@
   EXPECT_LT(later, first * 5 / 2);
 }
 
-TEST(RouteChooser, aFailedEndpointRestsAndThenGetsOneTrial)
+TEST(RouteChooser, aFailedEndpointGetsOneTrialAfterItsBackoff)
 {
   EndpointView view;
   view.endpoints = { engine("a", { 0, 12 }), engine("b", { 0, 12 }) };
@@ -261,13 +263,13 @@
   choice.onEndpointFailed("a", kStart);
   choice.onRouteEnded({ RouteStage{ "a", 1, "", {} } }, false, kStart);
   EXPECT_FALSE(startMany(choice, view, 5).contains("a"));
-  const TimePoint rested = kStart + std::chrono::seconds{ 1 };
-  EXPECT_EQ(startMany(choice, view, 5, rested)["a"], 1);
+  const TimePoint afterBackoff = kStart + std::chrono::seconds{ 1 };
+  EXPECT_EQ(startMany(choice, view, 5, afterBackoff)["a"], 1);
   choice.onEndpointSucceeded("a");
-  EXPECT_GE(startMany(choice, view, 5, rested)["a"], 3);
+  EXPECT_GE(startMany(choice, view, 5, afterBackoff)["a"], 3);
 }
 
-TEST(RouteChooser, aRestingEndpointIsUsedWhenNobodyElseCovers)
+TEST(RouteChooser, anEndpointInBackoffIsUsedIfNoOtherCoversALayer)
 {
   EndpointView view;
   view.endpoints = { engine("only", { 0, 12 }) };
@@ -276,7 +278,7 @@
   EXPECT_TRUE(choice.choose(view, query(), kStart).ok());
 }
 
-TEST(RouteChooser, aPrefixKeepsItsHomeUntilTheHomeIsLoaded)
+TEST(RouteChooser, aPrefixKeepsItsEndpointUntilThatIsLoaded)
 {
   EndpointView view;
   for (int i = 0; i < 5; ++i) {
@@ -286,17 +288,17 @@
   wanted.prefixHash = 99;
   wanted.prefillTokens = 4000;
   RouteChooser choice = chooser(withoutSpread());
-  const std::string home =
+  const std::string preferred =
     choice.choose(view, wanted, kStart).value().route[0].endpoint;
   EXPECT_EQ(choice.choose(view, wanted, kStart).value().route[0].endpoint,
-            home);
+            preferred);
   const auto counts = startMany(choice, view, 50, kStart, wanted);
   for (const auto& [name, count] : counts) {
     EXPECT_LE(count, 20) << name;
   }
 }
 
-TEST(RouteChooser, plainCallsGoToTheShortestWait)
+TEST(RouteChooser, plainCallsGoToTheEndpointWithTheShortestWait)
 {
   EndpointView view;
   for (int i = 0; i < 3; ++i) {
