--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -52,7 +52,7 @@
   // refused work until it is held again. It is taken over after 3 to 4 s. The
   // others look only while the holder is not heard.
   lease.duration = std::chrono::milliseconds{ 2'000 };
-  lease.renewEvery = std::chrono::milliseconds{ 700 };
+  lease.renewInterval = std::chrono::milliseconds{ 700 };
   lease.pollInterval = std::chrono::milliseconds{ 700 };
   lease.margin = std::chrono::milliseconds{ 200 };
   return lease;
@@ -363,7 +363,7 @@
       now - this->leasePolledAt < fleet_control::kLeasePollInterval) {
     return;
   }
-  this->lease.onFreed(this->shared.peerReleasedFence);
+  this->lease.onReleased(this->shared.peerReleasedFence);
   this->leasePolledAt = now;
   this->lease.poll();
 }
@@ -421,7 +421,7 @@
   this->shared.holdsLease = false;
   const std::uint64_t lost = this->leading.exchange(0);
   if (lost != 0) {
-    this->shared.releasedFence = this->lease.giveUp().value_or(lost);
+    this->shared.releasedFence = this->lease.releaseLocally().value_or(lost);
     this->shared.metrics.set("placement_lease_held", 0);
     this->shared.log.write(LogLine{ LogPart::Lease, "lost" }.with(
       "fence", static_cast<std::int64_t>(lost)));
--- a/include/poplartrack/store/Lease.h
+++ b/include/poplartrack/store/Lease.h
@@ -37,10 +37,10 @@
   void release();
   /** Gives the lease up for this process without a call. Gives the fencing
    * number that it held, to be told to the others; nothing if it held none. */
-  std::optional<std::uint64_t> giveUp();
+  std::optional<std::uint64_t> releaseLocally();
   /** Another process has told that it gave up the lease of this number: there
    * is nothing to wait for. */
-  void onFreed(std::uint64_t aFence);
+  void onReleased(std::uint64_t aFence);
 
 private:
   void read();
@@ -150,18 +150,18 @@
 
 template<PlatformLike Platform, ClockLike Clock>
 std::optional<std::uint64_t>
-Lease<Platform, Clock>::giveUp()
+Lease<Platform, Clock>::releaseLocally()
 {
   const std::scoped_lock lock{ this->mutex };
-  return this->state.giveUp();
+  return this->state.releaseLocally();
 }
 
 template<PlatformLike Platform, ClockLike Clock>
 void
-Lease<Platform, Clock>::onFreed(std::uint64_t aFence)
+Lease<Platform, Clock>::onReleased(std::uint64_t aFence)
 {
   const std::scoped_lock lock{ this->mutex };
-  this->state.onFreed(aFence, this->clock.now());
+  this->state.onReleased(aFence, this->clock.now());
 }
 
 } // namespace poplartrack
--- a/include/poplartrack/store/LeaseState.h
+++ b/include/poplartrack/store/LeaseState.h
@@ -21,7 +21,7 @@
   std::string holder;
   Duration duration = std::chrono::seconds{ 9 };
   /** The holder renews this often. */
-  Duration renewEvery = std::chrono::seconds{ 3 };
+  Duration renewInterval = std::chrono::seconds{ 3 };
   /** The others look this often. */
   Duration pollInterval = std::chrono::milliseconds{ 4'500 };
   /** The holder stops this long before the lease's end: room for clocks that
@@ -87,9 +87,9 @@
   /** Gives the lease up without a write: the platform is out of reach. Gives
    * its fencing number, never held again, for the others to be told. A renewal
    * that is under way and succeeds yet does not bring it back. */
-  std::optional<std::uint64_t> giveUp();
+  std::optional<std::uint64_t> releaseLocally();
   /** The holder of this fencing number has given the lease up. */
-  void onFreed(std::uint64_t aFence, TimePoint aNow);
+  void onReleased(std::uint64_t aFence, TimePoint aNow);
 
 private:
   /** A write that was sent and not yet seen in the row. */
--- a/include/poplartrack/store/PlatformLike.h
+++ b/include/poplartrack/store/PlatformLike.h
@@ -48,7 +48,7 @@
   std::string zone;
   std::string region;
   std::string address;
-  bool leaving = false;
+  bool draining = false;
 
   friend bool operator==(const InstanceInfo&, const InstanceInfo&) = default;
 };
--- a/src/entry/EndpointTracker.cpp
+++ b/src/entry/EndpointTracker.cpp
@@ -78,13 +78,13 @@
     tracked.info.address = aInstance.address;
     tracked.nextProbe = aNow;
   }
-  if (tracked.listedLeaving != aInstance.leaving) {
+  if (tracked.listedLeaving != aInstance.draining) {
     // Tell the side at once: it is the gate that other entries meet.
     tracked.nextProbe = aNow;
     this->changed = true;
   }
   tracked.listed = true;
-  tracked.listedLeaving = aInstance.leaving;
+  tracked.listedLeaving = aInstance.draining;
 }
 
 void
--- a/src/store/LeaseState.cpp
+++ b/src/store/LeaseState.cpp
@@ -126,7 +126,7 @@
 void
 LeaseState::onUnavailable(TimePoint aNow)
 {
-  this->dueAt = aNow + (this->holding ? this->settings.renewEvery /
+  this->dueAt = aNow + (this->holding ? this->settings.renewInterval /
                                           kUnavailablePartOfRenewal
                                       : this->settings.pollInterval);
 }
@@ -169,11 +169,11 @@
   this->fence = sent.fence;
   this->until = sent.sent + this->settings.duration - this->settings.margin;
   this->beats.clear();
-  this->dueAt = sent.sent + this->settings.renewEvery;
+  this->dueAt = sent.sent + this->settings.renewInterval;
 }
 
 std::optional<std::uint64_t>
-LeaseState::giveUp()
+LeaseState::releaseLocally()
 {
   if (!this->holding) {
     return std::nullopt;
@@ -186,7 +186,7 @@
 }
 
 void
-LeaseState::onFreed(std::uint64_t aFence, TimePoint aNow)
+LeaseState::onReleased(std::uint64_t aFence, TimePoint aNow)
 {
   if (aFence <= this->freed) {
     return;
@@ -201,7 +201,7 @@
 LeaseState::onWriteUnsure(TimePoint aNow)
 {
   this->rowKnown = false;
-  this->dueAt = aNow + this->settings.renewEvery / kUnsurePartOfRenewal;
+  this->dueAt = aNow + this->settings.renewInterval / kUnsurePartOfRenewal;
 }
 
 std::optional<TableWrite>
--- a/src/store/PlatformJson.cpp
+++ b/src/store/PlatformJson.cpp
@@ -32,7 +32,7 @@
   instance.zone = aInstance.at("zone").get<std::string>();
   instance.region = aInstance.at("region").get<std::string>();
   instance.address = aInstance.at("address").get<std::string>();
-  instance.leaving = aInstance.at("state").get<std::string>() == "leaving";
+  instance.draining = aInstance.at("state").get<std::string>() == "leaving";
   return instance;
 }
 
--- a/tests/standins/lib/PlatformHttp.cpp
+++ b/tests/standins/lib/PlatformHttp.cpp
@@ -143,12 +143,13 @@
   json instances = json::array();
   for (const InstanceInfo& instance : list.value()) {
     const bool entry = instance.role == InstanceRole::Entry;
-    instances.push_back({ { "name", instance.name },
-                          { "role", entry ? "entry" : "side" },
-                          { "zone", instance.zone },
-                          { "region", instance.region },
-                          { "address", instance.address },
-                          { "state", instance.leaving ? "leaving" : "live" } });
+    instances.push_back(
+      { { "name", instance.name },
+        { "role", entry ? "entry" : "side" },
+        { "zone", instance.zone },
+        { "region", instance.region },
+        { "address", instance.address },
+        { "state", instance.draining ? "leaving" : "live" } });
   }
   return jsonReply(200, { { "instances", instances } });
 }
@@ -185,7 +186,7 @@
   instance.zone = aInstance.value("zone", "");
   instance.region = aInstance.value("region", "");
   instance.address = aInstance.at("address").get<std::string>();
-  instance.leaving = aInstance.value("state", "live") == "leaving";
+  instance.draining = aInstance.value("state", "live") == "leaving";
   return instance;
 }
 
--- a/tests/unit/store/LeaseStateTest.cpp
+++ b/tests/unit/store/LeaseStateTest.cpp
@@ -129,9 +129,9 @@
         break;
       case Act::GiveUp:
         // Its word reaches the others at once, whatever the platform does.
-        if (const auto fence = one.lease.giveUp()) {
+        if (const auto fence = one.lease.releaseLocally()) {
           for (const auto& other : this->contenders) {
-            other->lease.onFreed(*fence);
+            other->lease.onReleased(*fence);
           }
         }
         break;
--- a/tests/unit/store/LeaseTest.cpp
+++ b/tests/unit/store/LeaseTest.cpp
@@ -139,9 +139,9 @@
 {
   this->first.poll();
   this->second.poll();
-  EXPECT_EQ(this->first.giveUp(), 1U);
+  EXPECT_EQ(this->first.releaseLocally(), 1U);
   EXPECT_FALSE(this->first.held());
-  this->second.onFreed(1);
+  this->second.onReleased(1);
   this->second.poll();
   ASSERT_TRUE(this->second.held());
   EXPECT_EQ(this->second.held()->fence, 2);
@@ -156,7 +156,7 @@
   this->clock.advance(seconds{ 4 });
   this->first.poll();
   this->platform.setFaults({});
-  EXPECT_EQ(this->first.giveUp(), 1U);
+  EXPECT_EQ(this->first.releaseLocally(), 1U);
   this->clock.advance(seconds{ 1 });
   this->first.poll();
   const auto held = this->first.held();
