--- a/include/poplartrack/store/CallFailure.h
+++ b/include/poplartrack/store/CallFailure.h
@@ -5,22 +5,26 @@
 
 namespace poplartrack {
 
-/** What a failed call's answer or end says, for logs. */
+/** Returns the status and body of a reply, or why there was none, for logs. */
 std::string
-detailOf(const HttpResult& aResult);
+failureDetail(const HttpResult& aResult);
 
-/** Why a read gave nothing: NotFound at that status, else PlatformUnavailable.
- * Whatever happened, it changed nothing. */
+/** Returns the error of a failed read: NotFound if the reply has the status
+ * aNotFoundStatus, else PlatformUnavailable. A read never has an effect, so
+ * its outcome is never unknown. */
 Error
 readFailure(const HttpResult& aResult, int aNotFoundStatus);
 
 /**
- * Why a write gave no success, and whether it may have taken effect. Only
- * three ends prove that it did not: the call never left, the store named a
- * conflict, or it refused (503 and 4xx). Any other end, a 5xx included, leaves
- * it open: it may even be done seconds later.
+ * Returns the error of a failed write, which says whether the write may have
+ * taken effect. Only three outcomes prove that it did not: the request was not
+ * sent (PlatformUnavailable), the store reported a version conflict (Conflict),
+ * or the store refused the request with 503 or a 4xx status
+ * (PlatformUnavailable). Every other outcome, including the other 5xx statuses,
+ * is PlatformUnknown: the write may even take effect seconds later.
  *
- * @param aConflictStatus with which this store names a version that differs
+ * @param aConflictStatus status with which this store reports that a row does
+ * not have the expected version
  */
 Error
 writeFailure(const HttpResult& aResult, int aConflictStatus);
--- a/include/poplartrack/store/Lease.h
+++ b/include/poplartrack/store/Lease.h
@@ -12,8 +12,9 @@
 namespace poplartrack {
 
 /**
- * A lease on a name, held by at most one process at a time. One thread polls;
- * any thread may ask for held().
+ * A lease on a name, held by at most one process at a time. Makes the platform
+ * calls that LeaseState asks for. One thread calls poll(); any thread may call
+ * held().
  */
 template<PlatformLike Platform, ClockLike Clock>
 class Lease
@@ -26,24 +27,30 @@
   {
   }
 
-  /** Makes the platform calls that are due: at most one read and one write.
-   * Blocks for them. Gives the time until the next poll is due. */
+  /** Makes the platform calls that are due, at most one read and one write, and
+   * blocks until they end. Returns the time until the next poll is due. */
   Duration poll();
-  /** The lease, while it is held and time is left. The caller may still be
-   * frozen right after asking: send the fencing number with each act. */
+  /** Returns the lease, or nothing if it is not held or has expired. The caller
+   * may be suspended right after this call, past the lease's end. It must
+   * therefore send the fencing number with each act. */
   [[nodiscard]] std::optional<HeldLease> held() const;
-  /** Gives the lease up, at once for this process and, if the platform can be
-   * reached, for the others too; else they wait for its end. */
+  /** Releases the lease at once for this process, and with a platform call for
+   * the other processes. If that call fails, or cannot be made because the
+   * row's version is not known, they wait until the lease expires. */
   void release();
-  /** Gives the lease up for this process without a call. Gives the fencing
-   * number that it held, to be told to the others; nothing if it held none. */
+  /** Releases the lease for this process without a platform call. Returns the
+   * fencing number that it held, which the caller reports to the other
+   * processes, or nothing if the lease was not held. */
   std::optional<std::uint64_t> releaseLocally();
-  /** Another process has told that it gave up the lease of this number: there
-   * is nothing to wait for. */
+  /** Handles another process's report that it released the lease with this
+   * fencing number: this process need not wait until that lease expires. */
   void onReleased(std::uint64_t aFence);
 
 private:
+  /** Reads the lease's row and passes the result to the state. */
   void read();
+  /** Writes the lease's row to acquire or renew the lease, and passes the
+   * result to the state. */
   void write();
 
   Platform& platform;
@@ -52,9 +59,9 @@
   LeaseState state;
 };
 
-/** The highest fencing number that a lease was taken with; 0 when it never
- * was. A process that takes orders asks this first after its start: it has
- * forgotten which numbers it has seen. */
+/** Returns the highest fencing number with which the lease was acquired; 0 if
+ * it never was. A process that receives orders reads this number before the
+ * first one, because a restart loses the numbers that it had seen. */
 template<PlatformLike Platform>
 Result<std::uint64_t>
 currentFence(Platform& aPlatform, const std::string& aLease)
@@ -77,14 +84,14 @@
 Duration
 Lease<Platform, Clock>::poll()
 {
-  const auto next = [this] {
+  const auto nextAction = [this] {
     const std::scoped_lock lock{ this->mutex };
-    return this->state.next(this->clock.now());
+    return this->state.nextAction(this->clock.now());
   };
-  if (next() == LeaseAction::Read) {
+  if (nextAction() == LeaseAction::Read) {
     this->read();
   }
-  if (next() == LeaseAction::Write) {
+  if (nextAction() == LeaseAction::Write) {
     this->write();
   }
   const std::scoped_lock lock{ this->mutex };
@@ -110,19 +117,19 @@
 void
 Lease<Platform, Clock>::write()
 {
-  const TableWrite sent = [this] {
+  const TableWrite request = [this] {
     const std::scoped_lock lock{ this->mutex };
     return this->state.beginWrite(this->clock.now());
   }();
-  const auto versions = this->platform.transact({ sent });
+  const auto versions = this->platform.transact({ request });
   const std::scoped_lock lock{ this->mutex };
   const TimePoint now = this->clock.now();
   if (versions) {
-    this->state.onWritten(versions.value().front(), now);
+    this->state.onWriteSucceeded(versions.value().front(), now);
   } else if (versions.error().kind == ErrorKind::PlatformUnavailable) {
     this->state.onUnavailable(now);
   } else {
-    this->state.onWriteUnsure(now);
+    this->state.onWriteUncertain(now);
   }
 }
 
@@ -138,13 +145,13 @@
 void
 Lease<Platform, Clock>::release()
 {
-  const std::optional<TableWrite> sent = [this] {
+  const std::optional<TableWrite> request = [this] {
     const std::scoped_lock lock{ this->mutex };
     return this->state.beginRelease();
   }();
-  if (sent) {
-    // Its answer changes nothing: this process has given the lease up already.
-    static_cast<void>(this->platform.transact({ *sent }));
+  if (request) {
+    // The answer does not matter: this process has released the lease already.
+    static_cast<void>(this->platform.transact({ *request }));
   }
 }
 
--- a/include/poplartrack/store/LeaseRecord.h
+++ b/include/poplartrack/store/LeaseRecord.h
@@ -8,31 +8,34 @@
 
 namespace poplartrack {
 
-/** Table that holds one row a lease. */
+/** Table with one row per lease. */
 constexpr const char* kLeaseTable = "leases";
 
-/** The row of one lease. It is never deleted: its fencing number must only
- * grow, also while nobody holds the lease. */
+/** The value of a lease's row. The row is never deleted, because its fencing
+ * number must only grow, even while nobody holds the lease. */
 struct LeaseRecord
 {
-  /** Unique to one run of one process. */
+  /** Identifies one incarnation of one process. */
   std::string holder;
+  /** Fencing number of the lease. It grows each time the lease is acquired. */
   std::uint64_t fence = 0;
-  /** Numbers the holder's own writes, so that it knows them again. */
-  std::uint64_t beat = 0;
-  /** For so long the row stays as it is when its holder has gone silent. */
+  /** Counts the holder's writes. A holder that lost the answer to a write
+   * recognizes the write in the row by this number. */
+  std::uint64_t writeNumber = 0;
+  /** How long a challenger waits, after it first sees a version of the row,
+   * before it may take the lease over from a silent holder. */
   Duration duration{ 0 };
-  /** Given back: whoever comes first may take it. */
+  /** The holder released the lease: any process may acquire it at once. */
   bool released = false;
 
   friend bool operator==(const LeaseRecord&, const LeaseRecord&) = default;
 };
 
-/** The row's value. */
+/** Serializes the record to the row's value, a JSON object. */
 std::string
 toText(const LeaseRecord& aRecord);
 
-/** What toText wrote, or nothing when the text is something else. */
+/** Parses the output of toText. Returns nothing if the text is invalid. */
 std::optional<LeaseRecord>
 leaseRecordFromText(const std::string& aText);
 
--- a/include/poplartrack/store/LeaseState.h
+++ b/include/poplartrack/store/LeaseState.h
@@ -16,28 +16,31 @@
 {
   /** Key of the lease's row. */
   std::string name;
-  /** Unique to this run of this process: a restarted process is another
-   * holder. */
+  /** Unique to this incarnation of this process: after a restart the process
+   * is another holder. */
   std::string holder;
+  /** How long the lease lasts after its holder sent a write. */
   Duration duration = std::chrono::seconds{ 9 };
-  /** The holder renews this often. */
+  /** Time between two renewals by the holder. */
   Duration renewInterval = std::chrono::seconds{ 3 };
-  /** The others look this often. */
+  /** Time between two polls by a process that does not hold the lease. */
   Duration pollInterval = std::chrono::milliseconds{ 4'500 };
-  /** The holder stops this long before the lease's end: room for clocks that
-   * run at different speeds. */
+  /** The holder stops using the lease this long before it expires, because
+   * clocks run at different speeds. */
   Duration margin = std::chrono::milliseconds{ 900 };
 };
 
-/** The lease as its holder has it. */
+/** The lease as its holder sees it. */
 struct HeldLease
 {
-  /** Goes with each order; the receiver refuses lower ones. */
+  /** Fencing number. It is sent with each order; the receiver rejects orders
+   * with a lower number than it has seen. */
   std::uint64_t fence = 0;
+  /** Time until the holder must stop using the lease. */
   Duration timeLeft{ 0 };
 };
 
-/** What to do next about a lease. */
+/** The platform call that a process must make next for its lease. */
 enum class LeaseAction : std::uint8_t
 {
   Wait,
@@ -46,17 +49,18 @@
 };
 
 /**
- * One process's view of one lease, as a pure state machine.
+ * One process's view of one lease, as a state machine that makes no calls and
+ * reads no clock itself.
  *
- * No clock is compared with another one's. A holder counts the lease's duration
- * from before it sent the write that the row shows; a challenger counts it from
- * after it first read that write, and takes the lease over only if the row's
- * version is still the same. So the challenger's wait covers the holder's, and
- * the compare-and-set lets one challenger in.
+ * Clocks of two processes are never compared. A holder counts the lease's
+ * duration from before it sent the write that the row shows. A challenger
+ * counts it from after it first read that write, and takes the lease over only
+ * if the row's version is still the same. So the challenger's wait ends after
+ * the holder's lease, and the compare-and-set write admits only one challenger.
  *
- * A holder that was frozen past its lease may still believe in it for an
- * instant between its check and its act. Nothing here can prevent that: the
- * fencing number goes with the act, and the receiver refuses it.
+ * A holder that was suspended past the end of its lease may still act on it if
+ * it was suspended between its check and its act. This class cannot prevent
+ * that: the fencing number is sent with the act, and the receiver rejects it.
  */
 class LeaseState
 {
@@ -65,63 +69,84 @@
 
   /** Key of the lease's row. */
   [[nodiscard]] const std::string& name() const { return this->settings.name; }
-  /** What to do now. */
-  [[nodiscard]] LeaseAction next(TimePoint aNow) const;
-  /** When next() will say something else than Wait. */
+  /** Returns what the caller must do now. */
+  [[nodiscard]] LeaseAction nextAction(TimePoint aNow) const;
+  /** Returns when nextAction() will return something other than Wait. */
   [[nodiscard]] TimePoint due() const { return this->dueAt; }
-  /** The lease, while it is held and time is left. */
+  /** Returns the lease, or nothing if it is not held or has expired. */
   [[nodiscard]] std::optional<HeldLease> held(TimePoint aNow) const;
 
-  /** The row was read. */
+  /** Handles the result of a read; nothing if the row does not exist. */
   void onRead(const std::optional<TableRow>& aRow, TimePoint aNow);
-  /** A read or write failed without effect. */
+  /** Handles a read or write that failed without effect. */
   void onUnavailable(TimePoint aNow);
-  /** The write for next() == Write; aNow is before it is sent. */
+  /** Returns the write that acquires or renews the lease, to be sent when
+   * nextAction() is Write. aNow must be taken before the write is sent. */
   TableWrite beginWrite(TimePoint aNow);
-  void onWritten(std::uint64_t aVersion, TimePoint aNow);
-  /** Another write came first, or it is not known: the row tells. */
-  void onWriteUnsure(TimePoint aNow);
-  /** Gives the lease up at once. The write tells the others; nothing when there
-   * is no lease to give up. */
+  /** Handles a write that succeeded and gave the row this version. */
+  void onWriteSucceeded(std::uint64_t aVersion, TimePoint aNow);
+  /** Handles a write that met a conflict or has an unknown outcome: the row
+   * must be read again. */
+  void onWriteUncertain(TimePoint aNow);
+  /** Releases the lease at once. Returns the write that shows it to the other
+   * processes, or nothing if the lease is not held or the row's version is not
+   * known. */
   std::optional<TableWrite> beginRelease();
-  /** Gives the lease up without a write: the platform is out of reach. Gives
-   * its fencing number, never held again, for the others to be told. A renewal
-   * that is under way and succeeds yet does not bring it back. */
+  /** Releases the lease without a write, because the platform is unavailable.
+   * Returns its fencing number, which the caller reports to the other
+   * processes, or nothing if the lease is not held. This process never holds
+   * that number again, even if a renewal under way succeeds later. */
   std::optional<std::uint64_t> releaseLocally();
-  /** The holder of this fencing number has given the lease up. */
+  /** Handles another process's report that it released the lease with this
+   * fencing number. */
   void onReleased(std::uint64_t aFence, TimePoint aNow);
 
 private:
   /** A write that was sent and not yet seen in the row. */
-  struct Beat
+  struct PendingWrite
   {
+    /** As LeaseRecord::writeNumber. */
     std::uint64_t number = 0;
     std::uint64_t fence = 0;
-    TimePoint sent;
+    TimePoint sentAt;
   };
 
-  [[nodiscard]] bool own(const LeaseRecord& aRecord) const;
-  [[nodiscard]] bool mayTake(TimePoint aNow) const;
-  void adoptOwn(const LeaseRecord& aRecord, TimePoint aNow);
-  void lose();
-  [[nodiscard]] TableWrite writeOf(const LeaseRecord& aRecord) const;
+  /** Whether this process wrote the record and has not released it. */
+  [[nodiscard]] bool isOwn(const LeaseRecord& aRecord) const;
+  /** Whether a process that does not hold the lease may try to acquire it. */
+  [[nodiscard]] bool mayAcquire(TimePoint aNow) const;
+  /** Handles a read that found a record of this process: holds the lease again
+   * if the record is the effect of a pending write. */
+  void onOwnRecord(const LeaseRecord& aRecord, TimePoint aNow);
+  /** Stops holding the lease and forgets the pending writes. */
+  void stopHolding();
+  /** Returns the write that replaces the known version of the row. */
+  [[nodiscard]] TableWrite makeWrite(const LeaseRecord& aRecord) const;
 
   LeaseSettings settings;
-  /** False until the row was read, and after each write that is unsure. */
+  /** Whether the next four members describe the row as last read or written.
+   * False before the first read, after an uncertain write, and after a
+   * release of either kind. */
   bool rowKnown = false;
-  std::uint64_t version = 0;
-  /** Nothing: no row, or a row that cannot be read. */
+  /** Version of the row; 0 if it does not exist. */
+  std::uint64_t rowVersion = 0;
+  /** Content of the row. Nothing if there is no row or it cannot be parsed. */
   std::optional<LeaseRecord> record;
+  /** The row exists and cannot be parsed. */
   bool unreadable = false;
-  /** When this version was first seen. */
-  TimePoint firstSeen{};
+  /** When this process first saw rowVersion. */
+  TimePoint versionFirstSeen{};
   bool holding = false;
+  /** Fencing number of the lease that is or was last held. */
   std::uint64_t fence = 0;
-  TimePoint until{};
-  std::uint64_t lastBeat = 0;
-  /** Leases up to this number were given up, by this process or another one. */
-  std::uint64_t freed = 0;
-  std::vector<Beat> beats;
+  /** End of the held lease, less the margin. */
+  TimePoint validUntil{};
+  std::uint64_t lastWriteNumber = 0;
+  /** Leases with this fencing number or a lower one were released, by this
+   * process or another one. */
+  std::uint64_t releasedFence = 0;
+  /** In the order in which they were sent. */
+  std::vector<PendingWrite> pendingWrites;
   TimePoint dueAt{};
 };
 
--- a/include/poplartrack/store/PlatformClient.h
+++ b/include/poplartrack/store/PlatformClient.h
@@ -14,25 +14,25 @@
 
 namespace poplartrack {
 
-/** Where the platform is, and how long a call may last. */
+/** Address of the platform and timeouts of calls to it. */
 struct PlatformClientSettings
 {
   Address platform;
-  /** A whole call, its connection included. */
+  /** Maximum duration of a call, including its connect. */
   Duration timeout = std::chrono::seconds{ 2 };
   Duration connectTimeout = std::chrono::milliseconds{ 500 };
 };
 
 /**
- * The platform over HTTP (docs/PLATFORM.md). Satisfies PlatformLike; calls
- * block for at most the timeout and are never repeated here: whoever calls
- * knows whether a repeat is safe. Safe to call from any thread but the HTTP
- * client's own.
+ * Client of the platform's HTTP interface (docs/PLATFORM.md). Satisfies
+ * PlatformLike. Calls block for at most the timeout and are never retried here,
+ * because only the caller knows whether a retry is safe. May be used from any
+ * thread except the HTTP client's own.
  */
 class PlatformClient
 {
 public:
-  /** The HTTP client must outlive this. */
+  /** The HTTP client must outlive this object. */
   PlatformClient(HttpClient& aHttp, PlatformClientSettings aSettings);
 
   Result<std::optional<TableRow>> readRow(const std::string& aTable,
@@ -41,17 +41,22 @@
                                          const std::string& aPrefix,
                                          const std::string& aAfter,
                                          std::size_t aLimit);
-  /** Versions of the rows written, in the order of the writes; 0: deleted. */
+  /** Applies all writes or none. Returns the new versions of the rows in the
+   * order of the writes; 0 for a deleted row. */
   Result<std::vector<std::uint64_t>> transact(
     const std::vector<TableWrite>& aWrites);
-  /** Objects never change: the same bytes again are Done, others Conflict. */
+  /** Stores an immutable object. Storing the same bytes again succeeds; storing
+   * other bytes under the same name is a Conflict. */
   Result<Done> putObject(const std::string& aName, const std::string& aBytes);
   Result<std::string> getObject(const std::string& aName);
   Result<std::vector<InstanceInfo>> listInstances();
 
 private:
+  /** Sends a call, whose URL is a path, to the platform and waits for its
+   * end. */
   HttpResult send(HttpCall aCall);
-  Result<std::string> read(const std::string& aPath);
+  /** Sends a GET request and returns the body of the reply. */
+  Result<std::string> get(const std::string& aPath);
 
   HttpClient& http;
   PlatformClientSettings settings;
--- a/include/poplartrack/store/PlatformLike.h
+++ b/include/poplartrack/store/PlatformLike.h
@@ -16,7 +16,7 @@
 {
   std::string key;
   std::string value;
-  /** Grows with each write of the row; 0 never stands. */
+  /** Grows with each write of the row. Never 0. */
   std::uint64_t version = 0;
 
   friend bool operator==(const TableRow&, const TableRow&) = default;
@@ -27,20 +27,21 @@
 {
   std::string table;
   std::string key;
-  /** Version the row must have; 0: the row must not exist. */
+  /** Version that the row must have; 0 if it must not exist. */
   std::uint64_t expect = 0;
-  /** Nothing: delete the row. */
+  /** New value; nothing deletes the row. */
   std::optional<std::string> value;
 };
 
-/** What an instance is for. */
+/** Which process runs on an instance: poplartrack-entry or poplartrack-side. */
 enum class InstanceRole : std::uint8_t
 {
   Entry,
   Side,
 };
 
-/** One instance in the platform's list; late, never proof. */
+/** One entry of the platform's instance list. The list may be out of date and
+ * proves nothing about the instance. */
 struct InstanceInfo
 {
   std::string name;
@@ -48,18 +49,20 @@
   std::string zone;
   std::string region;
   std::string address;
+  /** The instance is about to be removed as planned. */
   bool draining = false;
 
   friend bool operator==(const InstanceInfo&, const InstanceInfo&) = default;
 };
 
 /**
- * The platform's services as poplartrack uses them. Calls block.
+ * The platform's services that poplartrack uses: versioned table rows,
+ * immutable objects and the instance list. Calls block.
  *
  * Errors: Conflict (a version did not match; nothing was written), NotFound,
  * PlatformUnavailable (the call provably did not take effect) and
- * PlatformUnknown (a write's answer was lost: it may have taken effect).
- * Reads only ever fail with NotFound or PlatformUnavailable.
+ * PlatformUnknown (the answer to a write was lost; it may have taken effect).
+ * Reads fail only with NotFound or PlatformUnavailable.
  */
 template<typename T>
 concept PlatformLike = requires(T& aPlatform,
@@ -72,7 +75,7 @@
     aPlatform.readRow(aName, aName)
     } -> std::same_as<Result<std::optional<TableRow>>>;
   {
-    // table, key prefix, start after this key, at most so many rows
+    // table, key prefix, key after which to start, maximum number of rows
     aPlatform.scanRows(aName, aName, aName, aLimit)
     } -> std::same_as<Result<std::vector<TableRow>>>;
   {
--- a/src/store/CallFailure.cpp
+++ b/src/store/CallFailure.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 std::string
-detailOf(const HttpResult& aResult)
+failureDetail(const HttpResult& aResult)
 {
   if (aResult.outcome != CallOutcome::Replied) {
     return aResult.detail;
@@ -28,17 +28,17 @@
   const bool missing = aResult.outcome == CallOutcome::Replied &&
                        aResult.status == aNotFoundStatus;
   return fail(missing ? ErrorKind::NotFound : ErrorKind::PlatformUnavailable,
-              detailOf(aResult));
+              failureDetail(aResult));
 }
 
 Error
 writeFailure(const HttpResult& aResult, int aConflictStatus)
 {
   if (aResult.outcome == CallOutcome::NotSent) {
-    return fail(ErrorKind::PlatformUnavailable, detailOf(aResult));
+    return fail(ErrorKind::PlatformUnavailable, failureDetail(aResult));
   }
   if (aResult.outcome == CallOutcome::Unknown) {
-    return fail(ErrorKind::PlatformUnknown, detailOf(aResult));
+    return fail(ErrorKind::PlatformUnknown, failureDetail(aResult));
   }
   if (aResult.status == aConflictStatus) {
     return fail(ErrorKind::Conflict, aResult.body);
@@ -48,7 +48,7 @@
     (aResult.status >= kBadRequest && aResult.status < kInternalError);
   return fail(refused ? ErrorKind::PlatformUnavailable
                       : ErrorKind::PlatformUnknown,
-              detailOf(aResult));
+              failureDetail(aResult));
 }
 
 } // namespace poplartrack
--- a/src/store/LeaseRecord.cpp
+++ b/src/store/LeaseRecord.cpp
@@ -12,7 +12,7 @@
   return nlohmann::json{
     { "holder", aRecord.holder },
     { "fence", aRecord.fence },
-    { "beat", aRecord.beat },
+    { "beat", aRecord.writeNumber },
     { "durationMicros", aRecord.duration.count() },
     { "released", aRecord.released }
   }.dump();
@@ -26,7 +26,7 @@
     LeaseRecord record;
     record.holder = body.at("holder").get<std::string>();
     record.fence = body.at("fence").get<std::uint64_t>();
-    record.beat = body.at("beat").get<std::uint64_t>();
+    record.writeNumber = body.at("beat").get<std::uint64_t>();
     record.duration = Duration{ body.at("durationMicros").get<std::int64_t>() };
     record.released = body.at("released").get<bool>();
     return record;
--- a/src/store/LeaseState.cpp
+++ b/src/store/LeaseState.cpp
@@ -6,13 +6,16 @@
 namespace poplartrack {
 namespace {
 
-/** Unseen writes that are remembered; older ones count as never sent, which
- * only shortens the lease. */
-constexpr std::size_t kMaxBeats = 16;
-/** Parts of the time between renewals until the next try: a platform that
- * fails at once must not be asked without pause. */
-constexpr int kUnavailablePartOfRenewal = 3;
-constexpr int kUnsurePartOfRenewal = 10;
+/** Maximum size of pendingWrites. A write that is dropped from it counts as
+ * never sent, which can only shorten the lease. */
+constexpr std::size_t kMaxPendingWrites = 16;
+/** While the platform is unavailable, the holder retries after renewInterval
+ * divided by this. Without a delay, calls that fail at once would be repeated
+ * without pause. */
+constexpr int kUnavailableRetryDivisor = 3;
+/** After a write with an uncertain outcome, the row is read after renewInterval
+ * divided by this. The delay has the same reason. */
+constexpr int kUncertainRetryDivisor = 10;
 
 } // namespace
 
@@ -22,31 +25,32 @@
 }
 
 bool
-LeaseState::own(const LeaseRecord& aRecord) const
+LeaseState::isOwn(const LeaseRecord& aRecord) const
 {
   return aRecord.holder == this->settings.holder && !aRecord.released;
 }
 
 bool
-LeaseState::mayTake(TimePoint aNow) const
+LeaseState::mayAcquire(TimePoint aNow) const
 {
   if (this->unreadable) {
-    // Writing over it would start the fencing numbers anew.
+    // Overwriting the row would restart the fencing numbers.
     return false;
   }
   if (!this->record || this->record->released ||
-      this->record->fence <= this->freed) {
+      this->record->fence <= this->releasedFence) {
     return true;
   }
-  if (this->own(*this->record)) {
-    // An own row that is not held: given up, but the others never heard.
+  if (this->isOwn(*this->record)) {
+    // The row still names this process as the holder, but it has released the
+    // lease and the row was not updated.
     return true;
   }
-  return aNow - this->firstSeen >= this->record->duration;
+  return aNow - this->versionFirstSeen >= this->record->duration;
 }
 
 LeaseAction
-LeaseState::next(TimePoint aNow) const
+LeaseState::nextAction(TimePoint aNow) const
 {
   if (aNow < this->dueAt) {
     return LeaseAction::Wait;
@@ -57,69 +61,75 @@
   if (this->holding) {
     return LeaseAction::Write;
   }
-  return this->mayTake(aNow) ? LeaseAction::Write : LeaseAction::Read;
+  return this->mayAcquire(aNow) ? LeaseAction::Write : LeaseAction::Read;
 }
 
 std::optional<HeldLease>
 LeaseState::held(TimePoint aNow) const
 {
-  if (!this->holding || aNow >= this->until) {
+  if (!this->holding || aNow >= this->validUntil) {
     return std::nullopt;
   }
-  return HeldLease{ this->fence, this->until - aNow };
+  return HeldLease{ this->fence, this->validUntil - aNow };
 }
 
 void
-LeaseState::lose()
+LeaseState::stopHolding()
 {
   this->holding = false;
-  this->beats.clear();
+  this->pendingWrites.clear();
 }
 
 void
 LeaseState::onRead(const std::optional<TableRow>& aRow, TimePoint aNow)
 {
-  const std::uint64_t seen = aRow ? aRow->version : 0;
-  if (!this->rowKnown || seen != this->version) {
-    // A row that was unsure may be an old acquaintance: its first sight stands.
-    if (seen != this->version) {
-      this->firstSeen = aNow;
+  const std::uint64_t seenVersion = aRow ? aRow->version : 0;
+  if (!this->rowKnown || seenVersion != this->rowVersion) {
+    // After an uncertain write the row may still have the version that was
+    // known before: the time when it was first seen stays.
+    if (seenVersion != this->rowVersion) {
+      this->versionFirstSeen = aNow;
     }
-    this->version = seen;
+    this->rowVersion = seenVersion;
     this->record =
       aRow ? leaseRecordFromText(aRow->value) : std::optional<LeaseRecord>{};
     this->unreadable = aRow && !this->record;
     this->rowKnown = true;
   }
-  if (this->record && this->own(*this->record)) {
-    this->adoptOwn(*this->record, aNow);
+  if (this->record && this->isOwn(*this->record)) {
+    this->onOwnRecord(*this->record, aNow);
     return;
   }
-  this->lose();
+  this->stopHolding();
   this->dueAt = aNow;
-  if (!this->mayTake(aNow)) {
+  if (!this->mayAcquire(aNow)) {
     this->dueAt = aNow + this->settings.pollInterval;
     if (this->record) {
       this->dueAt =
-        std::min(this->dueAt, this->firstSeen + this->record->duration);
+        std::min(this->dueAt, this->versionFirstSeen + this->record->duration);
     }
   }
 }
 
 void
-LeaseState::adoptOwn(const LeaseRecord& aRecord, TimePoint aNow)
-{
-  const auto sent = std::find_if(
-    this->beats.begin(), this->beats.end(), [&](const Beat& aBeat) {
-      return aBeat.number == aRecord.beat && aBeat.fence == aRecord.fence;
-    });
-  if (sent != this->beats.end() && aRecord.fence > this->freed) {
+LeaseState::onOwnRecord(const LeaseRecord& aRecord, TimePoint aNow)
+{
+  const auto sent =
+    std::find_if(this->pendingWrites.begin(),
+                 this->pendingWrites.end(),
+                 [&](const PendingWrite& aWrite) {
+                   return aWrite.number == aRecord.writeNumber &&
+                          aWrite.fence == aRecord.fence;
+                 });
+  if (sent != this->pendingWrites.end() &&
+      aRecord.fence > this->releasedFence) {
     this->holding = true;
     this->fence = aRecord.fence;
-    this->until = sent->sent + aRecord.duration - this->settings.margin;
-    this->beats.erase(this->beats.begin(), sent + 1);
+    this->validUntil = sent->sentAt + aRecord.duration - this->settings.margin;
+    this->pendingWrites.erase(this->pendingWrites.begin(), sent + 1);
   }
-  // Renew early when an answer was lost: much of the lease may have gone by.
+  // Write again at once. If the answer to the last write was lost, much of the
+  // lease may have elapsed since it was sent.
   this->dueAt = aNow;
 }
 
@@ -127,49 +137,53 @@
 LeaseState::onUnavailable(TimePoint aNow)
 {
   this->dueAt = aNow + (this->holding ? this->settings.renewInterval /
-                                          kUnavailablePartOfRenewal
+                                          kUnavailableRetryDivisor
                                       : this->settings.pollInterval);
 }
 
 TableWrite
-LeaseState::writeOf(const LeaseRecord& aRecord) const
+LeaseState::makeWrite(const LeaseRecord& aRecord) const
 {
-  return { kLeaseTable, this->settings.name, this->version, toText(aRecord) };
+  return {
+    kLeaseTable, this->settings.name, this->rowVersion, toText(aRecord)
+  };
 }
 
 TableWrite
 LeaseState::beginWrite(TimePoint aNow)
 {
-  LeaseRecord next;
-  next.holder = this->settings.holder;
-  next.duration = this->settings.duration;
-  next.beat = ++this->lastBeat;
-  const std::uint64_t before = this->record ? this->record->fence : 0;
-  next.fence = this->holding ? this->fence : before + 1;
-  if (this->beats.size() == kMaxBeats) {
-    this->beats.erase(this->beats.begin());
+  LeaseRecord newRecord;
+  newRecord.holder = this->settings.holder;
+  newRecord.duration = this->settings.duration;
+  newRecord.writeNumber = ++this->lastWriteNumber;
+  const std::uint64_t previousFence = this->record ? this->record->fence : 0;
+  newRecord.fence = this->holding ? this->fence : previousFence + 1;
+  if (this->pendingWrites.size() == kMaxPendingWrites) {
+    this->pendingWrites.erase(this->pendingWrites.begin());
   }
-  this->beats.push_back({ next.beat, next.fence, aNow });
-  return this->writeOf(next);
+  this->pendingWrites.push_back(
+    { newRecord.writeNumber, newRecord.fence, aNow });
+  return this->makeWrite(newRecord);
 }
 
 void
-LeaseState::onWritten(std::uint64_t aVersion, TimePoint aNow)
+LeaseState::onWriteSucceeded(std::uint64_t aVersion, TimePoint aNow)
 {
-  const Beat sent = this->beats.back();
-  this->version = aVersion;
-  this->firstSeen = aNow;
+  const PendingWrite sent = this->pendingWrites.back();
+  this->rowVersion = aVersion;
+  this->versionFirstSeen = aNow;
   this->record = LeaseRecord{ this->settings.holder,
                               sent.fence,
                               sent.number,
                               this->settings.duration,
                               false };
   this->rowKnown = true;
-  this->holding = sent.fence > this->freed;
+  this->holding = sent.fence > this->releasedFence;
   this->fence = sent.fence;
-  this->until = sent.sent + this->settings.duration - this->settings.margin;
-  this->beats.clear();
-  this->dueAt = sent.sent + this->settings.renewInterval;
+  this->validUntil =
+    sent.sentAt + this->settings.duration - this->settings.margin;
+  this->pendingWrites.clear();
+  this->dueAt = sent.sentAt + this->settings.renewInterval;
 }
 
 std::optional<std::uint64_t>
@@ -178,9 +192,10 @@
   if (!this->holding) {
     return std::nullopt;
   }
-  // The beats stay: an answer to a write that is under way looks for its own.
+  // Keep the pending writes: onWriteSucceeded() needs the entry of a write that
+  // is under way.
   this->holding = false;
-  this->freed = std::max(this->freed, this->fence);
+  this->releasedFence = std::max(this->releasedFence, this->fence);
   this->rowKnown = false;
   return this->fence;
 }
@@ -188,35 +203,35 @@
 void
 LeaseState::onReleased(std::uint64_t aFence, TimePoint aNow)
 {
-  if (aFence <= this->freed) {
+  if (aFence <= this->releasedFence) {
     return;
   }
-  this->freed = aFence;
+  this->releasedFence = aFence;
   if (!this->holding) {
     this->dueAt = std::min(this->dueAt, aNow);
   }
 }
 
 void
-LeaseState::onWriteUnsure(TimePoint aNow)
+LeaseState::onWriteUncertain(TimePoint aNow)
 {
   this->rowKnown = false;
-  this->dueAt = aNow + this->settings.renewInterval / kUnsurePartOfRenewal;
+  this->dueAt = aNow + this->settings.renewInterval / kUncertainRetryDivisor;
 }
 
 std::optional<TableWrite>
 LeaseState::beginRelease()
 {
-  const bool known = this->holding && this->rowKnown;
-  this->lose();
+  const bool writable = this->holding && this->rowKnown;
+  this->stopHolding();
   this->rowKnown = false;
-  if (!known) {
+  if (!writable) {
     return std::nullopt;
   }
-  LeaseRecord given = *this->record;
-  given.released = true;
-  given.beat = ++this->lastBeat;
-  return this->writeOf(given);
+  LeaseRecord releasedRecord = *this->record;
+  releasedRecord.released = true;
+  releasedRecord.writeNumber = ++this->lastWriteNumber;
+  return this->makeWrite(releasedRecord);
 }
 
 } // namespace poplartrack
--- a/src/store/PlatformClient.cpp
+++ b/src/store/PlatformClient.cpp
@@ -15,7 +15,7 @@
 constexpr int kConflict = 409;
 
 Error
-unreadable()
+unreadableReply()
 {
   return fail(ErrorKind::PlatformUnavailable, "the answer cannot be read");
 }
@@ -39,7 +39,7 @@
 }
 
 Result<std::string>
-PlatformClient::read(const std::string& aPath)
+PlatformClient::get(const std::string& aPath)
 {
   HttpCall call;
   call.url = aPath;
@@ -54,7 +54,7 @@
 PlatformClient::readRow(const std::string& aTable, const std::string& aKey)
 {
   const Result<std::string> text =
-    this->read("/tables/" + percentEncode(aTable) + "/" + percentEncode(aKey));
+    this->get("/tables/" + percentEncode(aTable) + "/" + percentEncode(aKey));
   if (!text && text.error().kind == ErrorKind::NotFound) {
     return std::optional<TableRow>{};
   }
@@ -63,7 +63,7 @@
   }
   std::optional<TableRow> row = rowFromJson(text.value(), aKey);
   if (!row) {
-    return unreadable();
+    return unreadableReply();
   }
   return row;
 }
@@ -74,7 +74,7 @@
                          const std::string& aAfter,
                          std::size_t aLimit)
 {
-  const Result<std::string> text = this->read(
+  const Result<std::string> text = this->get(
     "/tables/" + percentEncode(aTable) + "?prefix=" + percentEncode(aPrefix) +
     "&after=" + percentEncode(aAfter) + "&limit=" + std::to_string(aLimit));
   if (!text) {
@@ -82,7 +82,7 @@
   }
   std::optional<std::vector<TableRow>> rows = rowsFromJson(text.value());
   if (!rows) {
-    return unreadable();
+    return unreadableReply();
   }
   return std::move(*rows);
 }
@@ -94,9 +94,9 @@
   call.method = "POST";
   call.url = "/transactions";
   call.body = transactionToJson(aWrites);
-  // libcurl would send the transaction again by itself when a kept-alive
-  // connection dies under it; the second try then meets the first one's
-  // effect and reports a conflict for a write that was ours.
+  // libcurl silently repeats a request when a kept-alive connection breaks
+  // during it. The repeated transaction would meet the effect of the first one
+  // and report a conflict with this client's own write.
   call.freshConnection = true;
   const HttpResult result = this->send(std::move(call));
   if (result.outcome != CallOutcome::Replied || result.status != kOk) {
@@ -128,20 +128,20 @@
 Result<std::string>
 PlatformClient::getObject(const std::string& aName)
 {
-  return this->read("/objects/" + percentEncode(aName));
+  return this->get("/objects/" + percentEncode(aName));
 }
 
 Result<std::vector<InstanceInfo>>
 PlatformClient::listInstances()
 {
-  const Result<std::string> text = this->read("/instances");
+  const Result<std::string> text = this->get("/instances");
   if (!text) {
     return text.error();
   }
   std::optional<std::vector<InstanceInfo>> instances =
     instancesFromJson(text.value());
   if (!instances) {
-    return unreadable();
+    return unreadableReply();
   }
   return std::move(*instances);
 }
--- a/src/store/PlatformJson.cpp
+++ b/src/store/PlatformJson.cpp
@@ -9,21 +9,22 @@
 
 using nlohmann::json;
 
-/** Runs a reader; whatever it throws on a wrong text becomes nothing. */
-template<typename Reader>
+/** Parses the text and converts it with aConvert. Returns nothing if either
+ * throws. */
+template<typename Converter>
 auto
-readJson(const std::string& aText, Reader&& aReader)
-  -> std::optional<decltype(aReader(json{}))>
+parseJson(const std::string& aText, Converter&& aConvert)
+  -> std::optional<decltype(aConvert(json{}))>
 {
   try {
-    return aReader(json::parse(aText));
+    return aConvert(json::parse(aText));
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
 InstanceInfo
-instanceFrom(const json& aInstance)
+instanceFromJson(const json& aInstance)
 {
   InstanceInfo instance;
   instance.name = aInstance.at("name").get<std::string>();
@@ -43,17 +44,17 @@
 {
   json writes = json::array();
   for (const TableWrite& write : aWrites) {
-    json one{ { "table", write.table },
-              { "key", write.key },
-              { "expect", write.expect },
-              { "value", nullptr } };
+    json writeJson{ { "table", write.table },
+                    { "key", write.key },
+                    { "expect", write.expect },
+                    { "value", nullptr } };
     if (write.value) {
-      one["value"] = *write.value;
+      writeJson["value"] = *write.value;
     }
-    writes.push_back(std::move(one));
+    writes.push_back(std::move(writeJson));
   }
-  // A value that is not UTF-8 cannot travel as JSON; replacing its bytes keeps
-  // the call from throwing, and the reader finds a text that is not its own.
+  // JSON cannot carry a value that is not UTF-8. Replacing the invalid bytes
+  // keeps dump() from throwing; whoever reads the row finds a changed text.
   return json{ { "writes", std::move(writes) } }.dump(
     -1, ' ', false, json::error_handler_t::replace);
 }
@@ -61,7 +62,7 @@
 std::optional<std::vector<std::uint64_t>>
 versionsFromJson(const std::string& aText)
 {
-  return readJson(aText, [](const json& aBody) {
+  return parseJson(aText, [](const json& aBody) {
     return aBody.at("versions").get<std::vector<std::uint64_t>>();
   });
 }
@@ -69,7 +70,7 @@
 std::optional<TableRow>
 rowFromJson(const std::string& aText, const std::string& aKey)
 {
-  return readJson(aText, [&](const json& aBody) {
+  return parseJson(aText, [&](const json& aBody) {
     return TableRow{ aKey,
                      aBody.at("value").get<std::string>(),
                      aBody.at("version").get<std::uint64_t>() };
@@ -79,7 +80,7 @@
 std::optional<std::vector<TableRow>>
 rowsFromJson(const std::string& aText)
 {
-  return readJson(aText, [](const json& aBody) {
+  return parseJson(aText, [](const json& aBody) {
     std::vector<TableRow> rows;
     for (const json& row : aBody.at("rows")) {
       rows.push_back({ row.at("key").get<std::string>(),
@@ -93,10 +94,10 @@
 std::optional<std::vector<InstanceInfo>>
 instancesFromJson(const std::string& aText)
 {
-  return readJson(aText, [](const json& aBody) {
+  return parseJson(aText, [](const json& aBody) {
     std::vector<InstanceInfo> instances;
     for (const json& instance : aBody.at("instances")) {
-      instances.push_back(instanceFrom(instance));
+      instances.push_back(instanceFromJson(instance));
     }
     return instances;
   });
--- a/src/store/PlatformJson.h
+++ b/src/store/PlatformJson.h
@@ -9,21 +9,26 @@
 
 namespace poplartrack {
 
-/** Bodies of docs/PLATFORM.md. A reader gives nothing when the text is not
- * what the page says. */
+/** Conversions of the JSON bodies that docs/PLATFORM.md defines. The functions
+ * that parse return nothing if the text is not valid. */
 
+/** Returns the body of a transaction request. */
 std::string
 transactionToJson(const std::vector<TableWrite>& aWrites);
 
+/** Parses the reply to a transaction: the new version of each row. */
 std::optional<std::vector<std::uint64_t>>
 versionsFromJson(const std::string& aText);
 
+/** Parses the reply to a read of the row with this key. */
 std::optional<TableRow>
 rowFromJson(const std::string& aText, const std::string& aKey);
 
+/** Parses the reply to a scan of a table. */
 std::optional<std::vector<TableRow>>
 rowsFromJson(const std::string& aText);
 
+/** Parses the instance list. */
 std::optional<std::vector<InstanceInfo>>
 instancesFromJson(const std::string& aText);
 
--- a/tests/unit/store/LeaseStateTest.cpp
+++ b/tests/unit/store/LeaseStateTest.cpp
@@ -12,9 +12,9 @@
 
 using std::chrono::milliseconds;
 
-/** A platform that may keep a write for later, when its sender has long given
- * it up. */
-class LatePlatform
+/** A platform that can delay a write. Its sender learns that the outcome is
+ * unknown, and the write takes effect later. */
+class DelayingPlatform
 {
 public:
   Result<std::optional<TableRow>> readRow(const std::string& aTable,
@@ -32,9 +32,9 @@
   Result<std::vector<std::uint64_t>> transact(
     const std::vector<TableWrite>& aWrites)
   {
-    if (this->keepNext) {
-      this->keepNext = false;
-      this->kept.push_back(aWrites);
+    if (this->delayNext) {
+      this->delayNext = false;
+      this->delayed.push_back(aWrites);
       return fail(ErrorKind::PlatformUnknown, "kept for later");
     }
     return this->inner.transact(aWrites);
@@ -52,46 +52,51 @@
     return this->inner.listInstances();
   }
 
-  void land()
+  /** Applies the delayed writes, in the order in which they were sent. */
+  void applyDelayed()
   {
-    for (const auto& writes : std::exchange(this->kept, {})) {
+    for (const auto& writes : std::exchange(this->delayed, {})) {
       static_cast<void>(this->inner.transact(writes));
     }
   }
 
   ManualClock clock;
   standins::PlatformStandin<ManualClock> inner{ clock };
-  bool keepNext = false;
-  std::vector<std::vector<TableWrite>> kept;
+  bool delayNext = false;
+  std::vector<std::vector<TableWrite>> delayed;
 };
 
-enum class Act : std::uint8_t
+/** What can happen to a contender, or to the platform that all share. */
+enum class Action : std::uint8_t
 {
   Advance,
   Poll,
   Release,
-  GiveUp,
+  ReleaseLocally,
   Restart,
-  KeepNextWrite,
-  Land,
-  LoseAfter,
-  LoseBefore,
+  DelayNextWrite,
+  ApplyDelayed,
+  LoseNextAnswer,
+  LoseNextWrite,
   Outage,
-  Heal,
+  EndFaults,
   StepClock,
 };
 
-struct Move
+/** One step of a random run. */
+struct Step
 {
-  Act act = Act::Advance;
+  Action action = Action::Advance;
+  /** Index of the contender. */
   std::size_t who = 0;
+  /** Milliseconds by which a clock advances. */
   int amount = 0;
 };
 
-/** A process that contends for the lease by a clock of its own. */
+/** A process with a clock of its own that contends for the lease. */
 struct Contender
 {
-  Contender(LatePlatform& aPlatform, std::string aHolder)
+  Contender(DelayingPlatform& aPlatform, std::string aHolder)
     : holder(std::move(aHolder))
     , lease(aPlatform, clock, LeaseSettings{ "lease", holder })
   {
@@ -99,71 +104,73 @@
 
   std::string holder;
   ManualClock clock;
-  Lease<LatePlatform, ManualClock> lease;
+  Lease<DelayingPlatform, ManualClock> lease;
 };
 
-/** Contenders, the platform, and what must hold between them. */
-class World
+/** The contenders, their platform, and checks of the lease's invariants. */
+class LeaseSimulation
 {
 public:
-  World()
+  LeaseSimulation()
   {
     for (std::size_t i = 0; i < kContenders; ++i) {
       this->start(i);
     }
   }
 
-  void apply(const Move& aMove)
+  void apply(const Step& aStep)
   {
-    Contender& one = *this->contenders[aMove.who];
+    Contender& contender = *this->contenders[aStep.who];
     standins::PlatformFaults faults = this->platform.inner.faults();
-    switch (aMove.act) {
-      case Act::Advance:
-        this->advance(milliseconds{ aMove.amount });
+    switch (aStep.action) {
+      case Action::Advance:
+        this->advance(milliseconds{ aStep.amount });
         break;
-      case Act::Poll:
-        one.lease.poll();
+      case Action::Poll:
+        contender.lease.poll();
         break;
-      case Act::Release:
-        one.lease.release();
+      case Action::Release:
+        contender.lease.release();
         break;
-      case Act::GiveUp:
-        // Its word reaches the others at once, whatever the platform does.
-        if (const auto fence = one.lease.releaseLocally()) {
+      case Action::ReleaseLocally:
+        // The others learn of the release at once, even while the platform is
+        // unavailable.
+        if (const auto fence = contender.lease.releaseLocally()) {
           for (const auto& other : this->contenders) {
             other->lease.onReleased(*fence);
           }
         }
         break;
-      case Act::Restart:
-        this->start(aMove.who);
+      case Action::Restart:
+        this->start(aStep.who);
         break;
-      case Act::KeepNextWrite:
-        this->platform.keepNext = true;
+      case Action::DelayNextWrite:
+        this->platform.delayNext = true;
         break;
-      case Act::Land:
-        this->platform.land();
+      case Action::ApplyDelayed:
+        this->platform.applyDelayed();
         break;
-      case Act::LoseAfter:
+      case Action::LoseNextAnswer:
         ++faults.loseAfter;
         break;
-      case Act::LoseBefore:
+      case Action::LoseNextWrite:
         ++faults.loseBefore;
         break;
-      case Act::Outage:
+      case Action::Outage:
         faults.outage = true;
         break;
-      case Act::Heal:
+      case Action::EndFaults:
         faults = {};
         break;
-      case Act::StepClock:
-        one.clock.advance(milliseconds{ aMove.amount });
+      case Action::StepClock:
+        contender.clock.advance(milliseconds{ aStep.amount });
         break;
     }
     this->platform.inner.setFaults(faults);
   }
 
-  /** Clocks run at speeds up to 4% apart from the true one. */
+  /** Advances all clocks. Those of the contenders run up to 4% slower or faster
+   * than the platform's. */
   void advance(Duration aStep)
   {
     this->platform.clock.advance(aStep);
@@ -173,20 +180,22 @@
     }
   }
 
-  /** Numbers never go back, and none has two holders. */
+  /** Checks that the stored fencing number never decreases, and that each
+   * number has only one holder. */
   void checkFences()
   {
     const auto row = this->platform.inner.readRow(kLeaseTable, "lease");
     if (row && row.value()) {
       const std::uint64_t fence =
         leaseRecordFromText(row.value()->value)->fence;
-      RC_ASSERT(fence >= this->highest);
-      this->highest = fence;
+      RC_ASSERT(fence >= this->highestFence);
+      this->highestFence = fence;
     }
-    for (const auto& one : this->contenders) {
-      if (const auto held = one->lease.held()) {
-        const auto known = this->owners.emplace(held->fence, one->holder).first;
-        RC_ASSERT(known->second == one->holder);
+    for (const auto& contender : this->contenders) {
+      if (const auto held = contender->lease.held()) {
+        const auto known =
+          this->holderOfFence.emplace(held->fence, contender->holder).first;
+        RC_ASSERT(known->second == contender->holder);
       }
     }
   }
@@ -199,15 +208,16 @@
       }));
   }
 
-  /** All faults end: soon one holds the lease. */
+  /** Ends all faults, lets 30 s pass and checks that one contender holds the
+   * lease. */
   void checkRecovery()
   {
     this->platform.inner.setFaults({});
-    this->platform.keepNext = false;
+    this->platform.delayNext = false;
     for (int i = 0; i < 30; ++i) {
       this->advance(std::chrono::seconds{ 1 });
-      for (const auto& one : this->contenders) {
-        one->lease.poll();
+      for (const auto& contender : this->contenders) {
+        contender->lease.poll();
       }
     }
     RC_ASSERT(this->holders() == 1);
@@ -216,60 +226,65 @@
 private:
   static constexpr std::size_t kContenders = 3;
 
+  /** Starts a new incarnation of a contender. */
   void start(std::size_t aWho)
   {
     this->contenders[aWho] = std::make_unique<Contender>(
-      this->platform, "run-" + std::to_string(++this->started));
+      this->platform, "run-" + std::to_string(++this->incarnations));
   }
 
-  LatePlatform platform;
+  DelayingPlatform platform;
   std::array<std::unique_ptr<Contender>, kContenders> contenders;
-  int started = 0;
-  std::uint64_t highest = 0;
-  std::map<std::uint64_t, std::string> owners;
+  int incarnations = 0;
+  std::uint64_t highestFence = 0;
+  std::map<std::uint64_t, std::string> holderOfFence;
 };
 
-rc::Gen<std::vector<Move>>
-movesOf(std::vector<Act> aActs)
+/** Generates sequences of steps: advances, polls and the given actions. */
+rc::Gen<std::vector<Step>>
+randomSteps(std::vector<Action> aActions)
 {
-  const auto move = rc::gen::build<Move>(
-    rc::gen::set(&Move::act,
-                 rc::gen::weightedOneOf<Act>(
-                   { { 3, rc::gen::just(Act::Advance) },
-                     { 4, rc::gen::just(Act::Poll) },
-                     { 3, rc::gen::elementOf(std::move(aActs)) } })),
-    rc::gen::set(&Move::who, rc::gen::inRange<std::size_t>(0, 3)),
-    rc::gen::set(&Move::amount, rc::gen::inRange(1, 6'000)));
-  return rc::gen::scale(4, rc::gen::container<std::vector<Move>>(move));
+  const auto step = rc::gen::build<Step>(
+    rc::gen::set(&Step::action,
+                 rc::gen::weightedOneOf<Action>(
+                   { { 3, rc::gen::just(Action::Advance) },
+                     { 4, rc::gen::just(Action::Poll) },
+                     { 3, rc::gen::elementOf(std::move(aActions)) } })),
+    rc::gen::set(&Step::who, rc::gen::inRange<std::size_t>(0, 3)),
+    rc::gen::set(&Step::amount, rc::gen::inRange(1, 6'000)));
+  return rc::gen::scale(4, rc::gen::container<std::vector<Step>>(step));
 }
 
-const std::vector<Act> kFaults{
-  Act::Release,   Act::GiveUp,     Act::Restart, Act::KeepNextWrite, Act::Land,
-  Act::LoseAfter, Act::LoseBefore, Act::Outage,  Act::Heal,
+/** Everything that can happen except a step of a contender's clock. */
+const std::vector<Action> kActions{
+  Action::Release,        Action::ReleaseLocally, Action::Restart,
+  Action::DelayNextWrite, Action::ApplyDelayed,   Action::LoseNextAnswer,
+  Action::LoseNextWrite,  Action::Outage,         Action::EndFaults,
 };
 
-RC_GTEST_PROP(LeaseState, neverTwoHoldersAndNumbersOnlyGrow, ())
+RC_GTEST_PROP(LeaseState, atMostOneHolderAndFencesOnlyGrow, ())
 {
-  World world;
-  for (const Move& move : *movesOf(kFaults)) {
-    world.apply(move);
-    world.checkFences();
-    RC_ASSERT(world.holders() <= 1);
+  LeaseSimulation simulation;
+  for (const Step& step : *randomSteps(kActions)) {
+    simulation.apply(step);
+    simulation.checkFences();
+    RC_ASSERT(simulation.holders() <= 1);
   }
-  world.checkRecovery();
+  simulation.checkRecovery();
 }
 
-// A clock that jumps ahead ends a lease early at its holder and may let a
-// challenger in too soon. Then two believe in the lease for a while; that their
-// numbers differ is what keeps the old one's acts out.
-RC_GTEST_PROP(LeaseState, afterClockStepsNumbersStillDifferAndGrow, ())
+// A clock that jumps forward ends the lease early for a holder, or lets a
+// challenger take it over too soon. In the second case two contenders consider
+// themselves the holder for a while. Their fencing numbers must differ, because
+// only these let a receiver reject the former holder's acts.
+RC_GTEST_PROP(LeaseState, afterClockStepsFencesStayUniqueAndGrow, ())
 {
-  std::vector<Act> acts = kFaults;
-  acts.push_back(Act::StepClock);
-  World world;
-  for (const Move& move : *movesOf(acts)) {
-    world.apply(move);
-    world.checkFences();
+  std::vector<Action> actions = kActions;
+  actions.push_back(Action::StepClock);
+  LeaseSimulation simulation;
+  for (const Step& step : *randomSteps(actions)) {
+    simulation.apply(step);
+    simulation.checkFences();
   }
 }
 
--- a/tests/unit/store/LeaseTest.cpp
+++ b/tests/unit/store/LeaseTest.cpp
@@ -21,11 +21,13 @@
   return settings;
 }
 
-/** Two contenders with one clock. */
+/** Two contenders that share a clock. */
 class LeaseTest : public testing::Test
 {
 protected:
-  void lose(std::uint32_t aBefore, std::uint32_t aAfter)
+  /** Loses the next aBefore writes before they take effect, and the answers of
+   * the next aAfter writes after they did. */
+  void loseWrites(std::uint32_t aBefore, std::uint32_t aAfter)
   {
     PlatformFaults faults;
     faults.loseBefore = aBefore;
@@ -33,6 +35,7 @@
     this->platform.setFaults(faults);
   }
 
+  /** Lets this time pass. Both contenders poll every second. */
   void pollBoth(int aSeconds)
   {
     for (int i = 0; i < aSeconds; ++i) {
@@ -48,7 +51,7 @@
   TestLease second{ platform, clock, settingsOf("second") };
 };
 
-TEST_F(LeaseTest, oneHoldsAndRenewsTheOtherWaits)
+TEST_F(LeaseTest, oneHoldsAndRenewsWhileTheOtherWaits)
 {
   this->first.poll();
   this->pollBoth(60);
@@ -57,9 +60,10 @@
   EXPECT_FALSE(this->second.held());
 }
 
-// The holder is frozen past its lease. The other takes it over with a higher
-// number; the first, awake again, finds no time left before it has even read.
-TEST_F(LeaseTest, aFrozenHolderIsReplacedAndWakesWithoutALease)
+// The holder is suspended past the end of its lease, and the other contender
+// takes the lease over with a higher fencing number. The first one must see
+// that its lease has expired before it reads the row again.
+TEST_F(LeaseTest, aSuspendedHolderIsReplacedAndResumesWithoutTheLease)
 {
   this->first.poll();
   this->second.poll();
@@ -75,11 +79,12 @@
   EXPECT_EQ(currentFence(this->platform, "placement-oslo").value(), 2);
 }
 
-// The write that takes the lease is done and its answer lost. Taken for a
-// failure, nobody would hold the lease until it ends.
-TEST_F(LeaseTest, aLostAnswerAfterTheEffectIsFoundOutByReading)
+// The write that acquires the lease takes effect and its answer is lost. If the
+// contender treated it as a failure, nobody would hold the lease until it
+// expires.
+TEST_F(LeaseTest, anAcquisitionWhoseAnswerWasLostIsFoundByReading)
 {
-  this->lose(0, 1);
+  this->loseWrites(0, 1);
   this->first.poll();
   EXPECT_FALSE(this->first.held());
   this->clock.advance(seconds{ 1 });
@@ -88,13 +93,13 @@
   EXPECT_EQ(this->first.held()->fence, 1);
 }
 
-// A renewal takes effect unseen. The lease counts from before it was sent, not
-// from when it was read back.
-TEST_F(LeaseTest, aRenewalFoundByReadingCountsFromItsSending)
+// A renewal takes effect and its answer is lost. Until the row was read, the
+// lease still counts from the write before it.
+TEST_F(LeaseTest, aRenewalWithALostAnswerDoesNotExtendTheLeaseYet)
 {
   this->first.poll();
   this->clock.advance(seconds{ 3 });
-  this->lose(0, 1);
+  this->loseWrites(0, 1);
   this->first.poll();
   PlatformFaults outage;
   outage.outage = true;
@@ -102,11 +107,11 @@
   this->clock.advance(seconds{ 2 });
   this->first.poll();
   ASSERT_TRUE(this->first.held());
-  // 9 s less 0.9 s from the first write, 5 s ago: the second is not seen yet.
+  // 9 s less the margin of 0.9 s, counted from the first write 5 s ago.
   EXPECT_EQ(this->first.held()->timeLeft, std::chrono::milliseconds{ 3'100 });
 }
 
-TEST_F(LeaseTest, anOutageEndsTheLeaseAndItsEndBringsItBack)
+TEST_F(LeaseTest, theLeaseExpiresInAnOutageAndIsAcquiredAfterIt)
 {
   this->first.poll();
   this->second.poll();
@@ -121,7 +126,7 @@
   EXPECT_NE(this->first.held().has_value(), this->second.held().has_value());
 }
 
-TEST_F(LeaseTest, aReleasedLeaseIsTakenAtTheNextLook)
+TEST_F(LeaseTest, aReleasedLeaseIsAcquiredAtTheNextPoll)
 {
   this->first.poll();
   this->second.poll();
@@ -133,9 +138,10 @@
   EXPECT_EQ(this->second.held()->fence, 2);
 }
 
-// The store turns only the holder away. It says so to the others, who need not
-// wait for the row's time: without a holder what is lost stays lost.
-TEST_F(LeaseTest, aLeaseThatWasGivenUpIsNotWaitedFor)
+// The store rejects only the holder's calls. The holder releases the lease and
+// reports it to the others, which need not wait until the row's lease expires.
+// Without a holder, nobody replaces what is lost.
+TEST_F(LeaseTest, aReportedLocalReleaseIsNotWaitedFor)
 {
   this->first.poll();
   this->second.poll();
@@ -147,12 +153,13 @@
   EXPECT_EQ(this->second.held()->fence, 2);
 }
 
-// A renewal was under way when the holder gave up, and the store carried it
-// out. The others were told that nobody holds this number any more.
-TEST_F(LeaseTest, aRenewalThatCameThroughDoesNotBringItBack)
+// A renewal is under way when the holder releases the lease locally, and the
+// store carries it out. The holder must not hold the lease with the same number
+// again, because it has reported that number as released.
+TEST_F(LeaseTest, aRenewalAfterALocalReleaseDoesNotRestoreTheLease)
 {
   this->first.poll();
-  this->lose(0, 1);
+  this->loseWrites(0, 1);
   this->clock.advance(seconds{ 4 });
   this->first.poll();
   this->platform.setFaults({});
@@ -163,9 +170,10 @@
   EXPECT_TRUE(!held || held->fence > 1);
 }
 
-// Somebody else's bytes are in the row: writing over them would start the
-// fencing numbers anew, and orders of an old holder would pass again.
-TEST_F(LeaseTest, aRowThatCannotBeReadIsLeftAlone)
+// The row contains bytes that are no lease record. Overwriting them would
+// restart the fencing numbers, and orders of a former holder would be accepted
+// again.
+TEST_F(LeaseTest, anUnreadableRowIsNeverOverwritten)
 {
   ASSERT_TRUE(this->platform.transact(
     { { kLeaseTable, "placement-oslo", 0, "garbage" } }));
--- a/tests/unit/store/PlatformClientTest.cpp
+++ b/tests/unit/store/PlatformClientTest.cpp
@@ -13,7 +13,7 @@
 
 using standins::PlatformFaults;
 
-/** The client and the platform stand-in, over loopback. */
+/** The client, connected to the platform stand-in over loopback. */
 class PlatformClientTest : public testing::Test
 {
 protected:
@@ -26,12 +26,13 @@
     this->client = std::make_unique<PlatformClient>(*this->http, settings);
   }
 
+  /** Serves the platform stand-in over HTTP at this address. */
   void listen(const Address& aAddress)
   {
     auto made = HttpServer::create(
       aAddress,
       [this](const HttpRequest& aRequest) {
-        if (this->broken) {
+        if (this->failing) {
           return HttpReply{ 500, {}, "broken", {}, {} };
         }
         return standins::answerPlatformCall(this->platform, aRequest);
@@ -41,22 +42,24 @@
     this->server = std::move(made).value();
   }
 
-  Result<std::vector<std::uint64_t>> put(std::uint64_t aExpect)
+  /** Writes the row "a/b %" of table "t" if it has this version. */
+  Result<std::vector<std::uint64_t>> putRow(std::uint64_t aExpect)
   {
     return this->client->transact({ { "t", "a/b %", aExpect, "value" } });
   }
 
   SystemClock clock;
   standins::ServedPlatform platform{ clock };
-  std::atomic<bool> broken{ false };
+  /** While set, every call is answered with status 500. */
+  std::atomic<bool> failing{ false };
   std::unique_ptr<HttpServer> server;
   std::unique_ptr<HttpClient> http;
   std::unique_ptr<PlatformClient> client;
 };
 
-TEST_F(PlatformClientTest, rowsReadBackUnderKeysOfAnyBytes)
+TEST_F(PlatformClientTest, rowsReadBackUnderKeysWithReservedCharacters)
 {
-  const auto versions = this->put(0);
+  const auto versions = this->putRow(0);
   ASSERT_TRUE(versions) << describe(versions.error());
   const auto row = this->client->readRow("t", "a/b %");
   ASSERT_TRUE(row) << describe(row.error());
@@ -64,10 +67,10 @@
   EXPECT_EQ(this->client->readRow("t", "none").value(), std::nullopt);
   EXPECT_EQ(this->client->scanRows("t", "a/", "", 5).value().size(), 1);
   EXPECT_EQ(this->client->scanRows("t", "a/", "a/b %", 5).value().size(), 0);
-  EXPECT_EQ(this->put(0).error().kind, ErrorKind::Conflict);
+  EXPECT_EQ(this->putRow(0).error().kind, ErrorKind::Conflict);
 }
 
-TEST_F(PlatformClientTest, objectsNeverChange)
+TEST_F(PlatformClientTest, objectsAreImmutable)
 {
   const std::string bytes{ "\0\xFF bytes", 8 };
   EXPECT_TRUE(this->client->putObject("config/1", bytes));
@@ -89,47 +92,48 @@
   EXPECT_EQ(this->client->listInstances().value(), list);
 }
 
-TEST_F(PlatformClientTest, anOutageOrNoListenerIsUnavailableForBothKinds)
+TEST_F(PlatformClientTest, anOutageOrNoListenerIsUnavailableForReadsAndWrites)
 {
   PlatformFaults faults;
   faults.outage = true;
   this->platform.setFaults(faults);
-  EXPECT_EQ(this->put(0).error().kind, ErrorKind::PlatformUnavailable);
+  EXPECT_EQ(this->putRow(0).error().kind, ErrorKind::PlatformUnavailable);
   EXPECT_EQ(this->client->listInstances().error().kind,
             ErrorKind::PlatformUnavailable);
   this->server.reset();
-  EXPECT_EQ(this->put(0).error().kind, ErrorKind::PlatformUnavailable);
+  EXPECT_EQ(this->putRow(0).error().kind, ErrorKind::PlatformUnavailable);
   EXPECT_EQ(this->client->readRow("t", "x").error().kind,
             ErrorKind::PlatformUnavailable);
 }
 
-// The write takes effect and its answer is lost on the way back. Reported as
-// a failure it would be done again; reported as done it may not be. The caller
-// must hear that it is not known, and find out by reading.
-TEST_F(PlatformClientTest, aLostAnswerToAWriteIsUnknown)
+// A write takes effect and its answer is lost. If it were reported as failed,
+// the caller would repeat it; if such a write were reported as done, it might
+// not have taken effect. The caller must learn that the outcome is unknown, and
+// find it out by reading.
+TEST_F(PlatformClientTest, aWriteWhoseAnswerIsLostIsUnknown)
 {
   ASSERT_TRUE(this->client->readRow("t", "a/b %"));
   PlatformFaults faults;
   faults.loseAfter = 2;
   this->platform.setFaults(faults);
-  EXPECT_EQ(this->put(0).error().kind, ErrorKind::PlatformUnknown);
+  EXPECT_EQ(this->putRow(0).error().kind, ErrorKind::PlatformUnknown);
   EXPECT_TRUE(this->client->readRow("t", "a/b %").value().has_value());
   EXPECT_EQ(this->client->putObject("name", "bytes").error().kind,
             ErrorKind::PlatformUnknown);
   EXPECT_EQ(this->platform.stats().writes.total, 2);
 }
 
-TEST_F(PlatformClientTest, aBrokenAnswerLeavesAWriteOpenAndFailsARead)
+TEST_F(PlatformClientTest, aServerErrorLeavesAWriteUnknownAndFailsARead)
 {
-  this->broken = true;
-  EXPECT_EQ(this->put(0).error().kind, ErrorKind::PlatformUnknown);
+  this->failing = true;
+  EXPECT_EQ(this->putRow(0).error().kind, ErrorKind::PlatformUnknown);
   EXPECT_EQ(this->client->readRow("t", "x").error().kind,
             ErrorKind::PlatformUnavailable);
 }
 
-// The platform hangs for longer than the client waits: the write's answer is
-// unknown and the caller is not held up.
-TEST_F(PlatformClientTest, aSlowPlatformEndsAtTheTimeout)
+// The platform does not answer within the client's timeout: the write's outcome
+// is unknown, and the caller does not wait any longer.
+TEST_F(PlatformClientTest, aWriteToAHungPlatformTimesOutAsUnknown)
 {
   std::promise<void> release;
   const std::shared_future<void> released = release.get_future().share();
@@ -137,8 +141,8 @@
   PlatformClientSettings settings;
   settings.platform = this->server->address();
   settings.timeout = std::chrono::milliseconds{ 50 };
-  PlatformClient hasty{ *this->http, settings };
-  EXPECT_EQ(hasty.transact({ { "t", "k", 0, "v" } }).error().kind,
+  PlatformClient shortTimeoutClient{ *this->http, settings };
+  EXPECT_EQ(shortTimeoutClient.transact({ { "t", "k", 0, "v" } }).error().kind,
             ErrorKind::PlatformUnknown);
   release.set_value();
 }
