--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -55,7 +55,7 @@
   // takes the lease over after 3 to 4 s. The others poll it often only while no
   // status message of a holder arrives.
   lease.duration = std::chrono::milliseconds{ 2'000 };
-  lease.renewEvery = std::chrono::milliseconds{ 700 };
+  lease.renewInterval = std::chrono::milliseconds{ 700 };
   lease.pollInterval = std::chrono::milliseconds{ 700 };
   lease.margin = std::chrono::milliseconds{ 200 };
   return lease;
@@ -374,7 +374,7 @@
       now - this->leasePolledAt < fleet_control::kLeasePollIntervalWithLeader) {
     return;
   }
-  this->lease.onFreed(this->shared.peerReleasedFence);
+  this->lease.onReleased(this->shared.peerReleasedFence);
   this->leasePolledAt = now;
   this->lease.poll();
 }
@@ -431,7 +431,7 @@
   this->shared.holdsLease = false;
   const std::uint64_t lost = this->placementFence.exchange(0);
   if (lost != 0) {
-    this->shared.releasedFence = this->lease.giveUp().value_or(lost);
+    this->shared.releasedFence = this->lease.releaseLocally().value_or(lost);
     this->shared.metrics.set("placement_lease_held", 0);
     this->shared.log.write(LogLine{ LogPart::Lease, "lost" }.with(
       "fence", static_cast<std::int64_t>(lost)));
