--- a/include/poplartrack/config/ConfigKeeper.h
+++ b/include/poplartrack/config/ConfigKeeper.h
@@ -24,7 +24,7 @@
   /** Sides learn from entries only; 2,700 more pollers are too many reads. */
   bool mayReadStore = true;
   /** Mean time between two polls of the store, jittered by a quarter. */
-  Duration poll = std::chrono::seconds{ 2 };
+  Duration pollInterval = std::chrono::seconds{ 2 };
   /** First wait after a failure; doubles up to the longest. */
   Duration firstBackoff = std::chrono::milliseconds{ 100 };
   /** Under the 6 s in which a change must be in force after an outage. */
@@ -46,7 +46,7 @@
   StoreText,
 };
 
-/** One read that the keeper wants done; answer it with finished(). */
+/** One read that the keeper wants done; answer it with onFetchFinished(). */
 struct KeeperFetch
 {
   KeeperSource source = KeeperSource::Peer;
@@ -88,21 +88,21 @@
    * @param aPeer the entry that has it and can be asked; nothing when only a
    *   side said so
    */
-  void heard(const std::optional<Address>& aPeer,
-             std::uint64_t aRevision,
-             TimePoint aNow);
+  void onRevisionAnnounced(const std::optional<Address>& aPeer,
+                           std::uint64_t aRevision,
+                           TimePoint aNow);
 
   /** The next read to do, if it is time; one is in flight at most. */
-  std::optional<KeeperFetch> next(TimePoint aNow);
+  std::optional<KeeperFetch> nextFetch(TimePoint aNow);
 
   /**
    * The read's answer: updates that follow each other, none when there is
    * nothing newer. Returns true when another revision is in force now.
    */
-  bool finished(const Result<std::vector<RevisionUpdate>>& aUpdates,
-                TimePoint aNow);
+  bool onFetchFinished(const Result<std::vector<RevisionUpdate>>& aUpdates,
+                       TimePoint aNow);
 
-  /** When next() may want something, if nothing is heard before. */
+  /** When nextFetch() may want something, if nothing is heard before. */
   [[nodiscard]] TimePoint wakeAt() const;
 
   /** The revision in force; 0 while there is none. */
--- a/include/poplartrack/config/ConfigReader.h
+++ b/include/poplartrack/config/ConfigReader.h
@@ -54,7 +54,7 @@
   Result<std::vector<RevisionUpdate>> updatesAfter(std::uint64_t aRevision);
 
   /** The newest revision as one whole update; none before the first push. */
-  Result<std::vector<RevisionUpdate>> newestWhole();
+  Result<std::vector<RevisionUpdate>> newestWholeUpdate();
 
   /** The source files of a revision. */
   Result<std::vector<StoredFile>> files(std::uint64_t aRevision);
@@ -152,7 +152,7 @@
     return record.error();
   }
   return this->platform.getObject(
-    textObjectName(aRevision, record.value().change));
+    textObjectName(aRevision, record.value().changeId));
 }
 
 template<PlatformLike Platform>
@@ -173,7 +173,7 @@
 
 template<PlatformLike Platform>
 Result<std::vector<RevisionUpdate>>
-ConfigReader<Platform>::newestWhole()
+ConfigReader<Platform>::newestWholeUpdate()
 {
   const Result<Head> head = this->readHead();
   if (!head) {
@@ -184,7 +184,7 @@
   }
   const ConfigHead& newest = head.value().head;
   Result<std::string> text =
-    this->platform.getObject(textObjectName(newest.revision, newest.change));
+    this->platform.getObject(textObjectName(newest.revision, newest.changeId));
   if (!text) {
     return text.error();
   }
@@ -203,8 +203,8 @@
   if (!record) {
     return record.error();
   }
-  const Result<std::string> bytes =
-    this->platform.getObject(filesObjectName(aRevision, record.value().change));
+  const Result<std::string> bytes = this->platform.getObject(
+    filesObjectName(aRevision, record.value().changeId));
   if (!bytes) {
     return bytes.error();
   }
--- a/include/poplartrack/config/ConfigStore.h
+++ b/include/poplartrack/config/ConfigStore.h
@@ -16,12 +16,12 @@
 struct PushRequest
 {
   /** Names this push in every try; chosen once by the operator's command. */
-  std::string change;
+  std::string changeId;
   std::string author;
   std::int64_t atSeconds = 0;
   std::string note;
   /** The revision that the files were edited from; 0: from none. */
-  std::uint64_t base = 0;
+  std::uint64_t baseRevision = 0;
   std::vector<SettingsFile> files;
   /** Lay the edits over revisions that came between, file by file. */
   bool rebase = false;
@@ -32,7 +32,7 @@
 {
   std::uint64_t revision = 0;
   /** An earlier try of the same change had made it already. */
-  bool earlier = false;
+  bool alreadyMade = false;
   /** Nothing differed from the revision in force: none was made. */
   bool unchanged = false;
   /** The files in force now; differ from the pushed ones after a rebase. */
--- a/include/poplartrack/config/ConfigStore.inl.h
+++ b/include/poplartrack/config/ConfigStore.inl.h
@@ -42,13 +42,13 @@
 ConfigStore<Platform>::filesToPush(const PushRequest& aRequest,
                                    const Head& aHead)
 {
-  if (aRequest.base == aHead.head.revision) {
+  if (aRequest.baseRevision == aHead.head.revision) {
     return aRequest.files;
   }
-  if (!aRequest.rebase || aRequest.base > aHead.head.revision) {
-    return this->conflictSince(aRequest.base, aHead.head.revision);
+  if (!aRequest.rebase || aRequest.baseRevision > aHead.head.revision) {
+    return this->conflictSince(aRequest.baseRevision, aHead.head.revision);
   }
-  const auto base = this->files(aRequest.base);
+  const auto base = this->files(aRequest.baseRevision);
   if (!base) {
     return base.error();
   }
@@ -106,11 +106,11 @@
                               std::vector<SettingsFile> aFiles)
 {
   const std::string head =
-    toText(ConfigHead{ aRecord.revision, aRequest.change });
+    toText(ConfigHead{ aRecord.revision, aRequest.changeId });
   const std::vector<TableWrite> writes{
     { kConfigTable, kConfigHeadKey, aHead.rowVersion, head },
     { kConfigHistoryTable, revisionKey(aRecord.revision), 0, toText(aRecord) },
-    { kConfigChangesTable, aRequest.change, 0, head },
+    { kConfigChangesTable, aRequest.changeId, 0, head },
   };
   bool lost = false;
   for (int i = 0; i < kPlatformTries; ++i) {
@@ -126,7 +126,7 @@
       // An earlier try whose answer was lost, here or inside a client
       // library, moves the head just as another operator does. The change
       // row was written with the head, so it tells the two apart.
-      const auto made = this->revisionOfChange(aRequest.change);
+      const auto made = this->revisionOfChange(aRequest.changeId);
       if (made && !made.value()) {
         return answer.error();
       }
@@ -143,7 +143,7 @@
   }
   return fail(ErrorKind::PlatformUnknown,
               "the push may have taken effect; repeat it with change id " +
-                aRequest.change);
+                aRequest.changeId);
 }
 
 template<PlatformLike Platform>
@@ -178,21 +178,21 @@
   if (!update) {
     return update.error();
   }
-  RevisionRecord record{ current + 1,        aRequest.change, aRequest.author,
-                         aRequest.atSeconds, aRequest.note,   {},
+  RevisionRecord record{ current + 1,        aRequest.changeId, aRequest.author,
+                         aRequest.atSeconds, aRequest.note,     {},
                          update.value() };
   for (const FileDifference& difference : changed) {
     record.files.push_back(difference.name);
   }
   const auto stamped =
     stampFiles(files.value(), before.value(), aRequest.author, record.revision);
-  const Result<Done> sources =
-    this->put(filesObjectName(record.revision, record.change), toText(stamped));
+  const Result<Done> sources = this->put(
+    filesObjectName(record.revision, record.changeId), toText(stamped));
   if (!sources) {
     return sources.error();
   }
   const Result<Done> whole =
-    this->put(textObjectName(record.revision, record.change), text);
+    this->put(textObjectName(record.revision, record.changeId), text);
   if (!whole) {
     return whole.error();
   }
@@ -203,7 +203,7 @@
 Result<PushOutcome>
 ConfigStore<Platform>::push(const PushRequest& aRequest)
 {
-  const auto earlier = this->revisionOfChange(aRequest.change);
+  const auto earlier = this->revisionOfChange(aRequest.changeId);
   if (!earlier) {
     return earlier.error();
   }
@@ -238,7 +238,7 @@
     return head.error();
   }
   aRequest.files = plainFiles(files.value());
-  aRequest.base = head.value().head.revision;
+  aRequest.baseRevision = head.value().head.revision;
   aRequest.rebase = false;
   return this->push(aRequest);
 }
--- a/include/poplartrack/config/RevisionRecord.h
+++ b/include/poplartrack/config/RevisionRecord.h
@@ -15,14 +15,14 @@
 {
   std::uint64_t revision = 0;
   /** The change id of the push that made it. */
-  std::string change;
+  std::string changeId;
 };
 
 /** A row of the history: one accepted push. */
 struct RevisionRecord
 {
   std::uint64_t revision = 0;
-  std::string change;
+  std::string changeId;
   std::string author;
   /** Unix time of the push by the operator's clock; for people only. */
   std::int64_t atSeconds = 0;
--- a/src/cli/ConfigHistory.cpp
+++ b/src/cli/ConfigHistory.cpp
@@ -44,7 +44,7 @@
     rows.push_back({ { "revision", record.revision },
                      { "at", record.atSeconds },
                      { "author", record.author },
-                     { "change", record.change },
+                     { "change", record.changeId },
                      { "files", record.files },
                      { "note", record.note } });
   }
--- a/src/cli/ConfigPush.cpp
+++ b/src/cli/ConfigPush.cpp
@@ -68,16 +68,16 @@
     return report(access.error(), json);
   }
   PushRequest request = pushRequestFrom(command.values);
-  request.base = command.values.count("base") > 0
-                   ? command.values["base"].as<std::uint64_t>()
-                   : readBase(folder, platform);
+  request.baseRevision = command.values.count("base") > 0
+                           ? command.values["base"].as<std::uint64_t>()
+                           : readBase(folder, platform);
   request.rebase = command.values.count("rebase") > 0;
   request.files = std::move(files).value();
   const auto outcome = access.value()->store().push(request);
   if (!outcome) {
     return report(outcome.error(), json);
   }
-  printOutcome(outcome.value(), request.change, json);
+  printOutcome(outcome.value(), request.changeId, json);
   const Result<Done> settled =
     settleFolder(folder, platform, request.files, outcome.value());
   if (!settled) {
--- a/src/cli/ConfigRollback.cpp
+++ b/src/cli/ConfigRollback.cpp
@@ -38,7 +38,7 @@
   if (!outcome) {
     return report(outcome.error(), json);
   }
-  printOutcome(outcome.value(), request.change, json);
+  printOutcome(outcome.value(), request.changeId, json);
   return ExitCode::Ok;
 }
 
--- a/src/cli/ConfigTools.cpp
+++ b/src/cli/ConfigTools.cpp
@@ -171,9 +171,9 @@
                      ? aValues["author"].as<std::string>()
                      : userName();
   request.note = aValues["note"].as<std::string>();
-  request.change = aValues.count("change") > 0
-                     ? aValues["change"].as<std::string>()
-                     : toText(randomRequestId());
+  request.changeId = aValues.count("change") > 0
+                       ? aValues["change"].as<std::string>()
+                       : toText(randomRequestId());
   request.atSeconds = std::chrono::duration_cast<std::chrono::seconds>(
                         std::chrono::system_clock::now().time_since_epoch())
                         .count();
@@ -189,7 +189,7 @@
     std::cout << Json{
       { "revision", aOutcome.revision },
       { "change", aChange },
-      { "earlier", aOutcome.earlier },
+      { "earlier", aOutcome.alreadyMade },
       { "unchanged", aOutcome.unchanged }
     }.dump(2) << '\n';
     return;
@@ -197,7 +197,8 @@
   std::cout << "revision " << aOutcome.revision
             << (aOutcome.unchanged ? " is in force already; nothing differs"
                                    : " is in force")
-            << (aOutcome.earlier ? " (by an earlier try of this change)" : "")
+            << (aOutcome.alreadyMade ? " (by an earlier try of this change)"
+                                     : "")
             << '\n';
 }
 
--- a/src/config/ConfigKeeper.cpp
+++ b/src/config/ConfigKeeper.cpp
@@ -25,9 +25,9 @@
 }
 
 void
-ConfigKeeper::heard(const std::optional<Address>& aPeer,
-                    std::uint64_t aRevision,
-                    TimePoint aNow)
+ConfigKeeper::onRevisionAnnounced(const std::optional<Address>& aPeer,
+                                  std::uint64_t aRevision,
+                                  TimePoint aNow)
 {
   if (aRevision <= this->inForce) {
     return;
@@ -56,8 +56,9 @@
 }
 
 bool
-ConfigKeeper::finished(const Result<std::vector<RevisionUpdate>>& aUpdates,
-                       TimePoint aNow)
+ConfigKeeper::onFetchFinished(
+  const Result<std::vector<RevisionUpdate>>& aUpdates,
+  TimePoint aNow)
 {
   if (!this->inFlight) {
     return false;
@@ -93,7 +94,7 @@
   const RevisionUpdate chosen = std::exchange(this->best, RevisionUpdate{});
   if (chosen.to > 0 && this->takeWhole(chosen)) {
     this->askAt = aNow;
-    this->pollAt = aNow + this->jittered(this->options.poll);
+    this->pollAt = aNow + this->jittered(this->options.pollInterval);
     this->peerFailures = 0;
     this->storeFailures = decided ? 0 : 1;
     return true;
@@ -148,7 +149,7 @@
     return;
   }
   this->storeFailures = aOk ? 0 : this->storeFailures + 1;
-  this->pollAt = aNow + (aOk ? this->jittered(this->options.poll)
+  this->pollAt = aNow + (aOk ? this->jittered(this->options.pollInterval)
                              : this->backoffAfter(this->storeFailures));
 }
 
--- a/src/config/ConfigKeeperFetch.cpp
+++ b/src/config/ConfigKeeperFetch.cpp
@@ -127,7 +127,7 @@
 }
 
 std::optional<KeeperFetch>
-ConfigKeeper::next(TimePoint aNow)
+ConfigKeeper::nextFetch(TimePoint aNow)
 {
   if (this->inFlight) {
     return std::nullopt;
--- a/src/config/ConfigurationTree.cpp
+++ b/src/config/ConfigurationTree.cpp
@@ -203,9 +203,9 @@
 }
 
 void
-checkTogether(const SettingsNode& aRoot,
-              const std::vector<std::string>& aFiles,
-              std::vector<SettingsProblem>& aProblems)
+checkConsistency(const SettingsNode& aRoot,
+                 const std::vector<std::string>& aFiles,
+                 std::vector<SettingsProblem>& aProblems)
 {
   TogetherCheck check{ aFiles, aProblems };
   eachNamed(aRoot, "models", [&](const auto& aName, const auto& aNode) {
--- a/src/config/ConfigurationTree.h
+++ b/src/config/ConfigurationTree.h
@@ -19,8 +19,8 @@
  * than everything, a service that takes a reserved name.
  */
 void
-checkTogether(const SettingsNode& aRoot,
-              const std::vector<std::string>& aFiles,
-              std::vector<SettingsProblem>& aProblems);
+checkConsistency(const SettingsNode& aRoot,
+                 const std::vector<std::string>& aFiles,
+                 std::vector<SettingsProblem>& aProblems);
 
 } // namespace poplartrack
--- a/src/config/Folder.cpp
+++ b/src/config/Folder.cpp
@@ -103,7 +103,7 @@
   if (!incomplete && !names.empty()) {
     checkSettings(
       merged, folderSettings(), names, TreeExtent::Whole, result.problems);
-    checkTogether(merged, names, result.problems);
+    checkConsistency(merged, names, result.problems);
   }
   std::sort(result.problems.begin(), result.problems.end());
   result.problems.erase(
--- a/src/config/RevisionRecord.cpp
+++ b/src/config/RevisionRecord.cpp
@@ -28,7 +28,7 @@
 toText(const ConfigHead& aHead)
 {
   return Json{
-    { "revision", aHead.revision }, { "change", aHead.change }
+    { "revision", aHead.revision }, { "change", aHead.changeId }
   }.dump();
 }
 
@@ -36,7 +36,7 @@
 toText(const RevisionRecord& aRecord)
 {
   return Json{
-    { "revision", aRecord.revision }, { "change", aRecord.change },
+    { "revision", aRecord.revision }, { "change", aRecord.changeId },
     { "author", aRecord.author },     { "at", aRecord.atSeconds },
     { "note", aRecord.note },         { "files", aRecord.files },
     { "update", aRecord.update }
--- a/src/config/RevisionText.cpp
+++ b/src/config/RevisionText.cpp
@@ -121,7 +121,7 @@
   std::vector<SettingsProblem> problems;
   checkSettings(root, folderSettings(), files, TreeExtent::Whole, problems);
   if (problems.empty()) {
-    checkTogether(root, files, problems);
+    checkConsistency(root, files, problems);
   }
   if (!problems.empty()) {
     return fail(ErrorKind::BadSettings, toText(problems.front()));
--- a/src/entry/ConfigWatch.cpp
+++ b/src/entry/ConfigWatch.cpp
@@ -53,7 +53,7 @@
   {
     const std::scoped_lock lock{ this->guard };
     isNews = aRevision > this->keeper.revision();
-    this->keeper.heard(peer, aRevision, runtimeNow());
+    this->keeper.onRevisionAnnounced(peer, aRevision, runtimeNow());
   }
   if (isNews && this->worker) {
     this->worker->wake();
@@ -83,7 +83,7 @@
   std::optional<KeeperFetch> fetch;
   {
     const std::scoped_lock lock{ this->guard };
-    fetch = this->keeper.next(runtimeNow());
+    fetch = this->keeper.nextFetch(runtimeNow());
   }
   if (fetch) {
     // Outside the lock: a slow platform must not hold up answers to peers.
@@ -91,7 +91,7 @@
     bool changed = false;
     {
       const std::scoped_lock lock{ this->guard };
-      changed = this->keeper.finished(updates, runtimeNow());
+      changed = this->keeper.onFetchFinished(updates, runtimeNow());
     }
     if (changed) {
       this->publish();
@@ -127,7 +127,7 @@
     case KeeperSource::StoreRows:
       return this->store.updatesAfter(aFetch.have);
     case KeeperSource::StoreText:
-      return this->store.newestWhole();
+      return this->store.newestWholeUpdate();
   }
   return fail(ErrorKind::Internal, "unknown source");
 }
--- a/src/entry/EntryServer.cpp
+++ b/src/entry/EntryServer.cpp
@@ -129,7 +129,7 @@
 {
   const std::string replyTo = toText(this->server->address());
   KeeperOptions keeper;
-  keeper.poll = this->settings.tuning.configPoll;
+  keeper.pollInterval = this->settings.tuning.configPoll;
   keeper.peers = this->settings.peerEntries;
   keeper.seed = freshSeed();
   this->configuration = std::make_unique<ConfigWatch>(
--- a/tests/harness/KeeperWorld.cpp
+++ b/tests/harness/KeeperWorld.cpp
@@ -98,9 +98,9 @@
 KeeperWorld::push()
 {
   PushRequest request;
-  request.change = "change-" + std::to_string(this->revision + 1);
+  request.changeId = "change-" + std::to_string(this->revision + 1);
   request.author = "operator";
-  request.base = this->revision;
+  request.baseRevision = this->revision;
   request.files = filesOf(this->revision + 1);
   const auto pushed = this->store.push(request);
   if (pushed) {
@@ -181,11 +181,11 @@
       this->cutOff.contains(sender)) {
     return;
   }
-  this->keepers[aProcess].heard(fromSide
-                                  ? std::optional<Address>{}
-                                  : std::optional<Address>{ addressOf(sender) },
-                                this->keepers[sender].revision(),
-                                this->time);
+  this->keepers[aProcess].onRevisionAnnounced(
+    fromSide ? std::optional<Address>{}
+             : std::optional<Address>{ addressOf(sender) },
+    this->keepers[sender].revision(),
+    this->time);
   this->wake(aProcess);
 }
 
@@ -193,7 +193,7 @@
 KeeperWorld::wake(std::size_t aProcess)
 {
   ConfigKeeper& keeper = this->keepers[aProcess];
-  if (const auto fetch = keeper.next(this->time)) {
+  if (const auto fetch = keeper.nextFetch(this->time)) {
     this->ask(aProcess, *fetch);
     return;
   }
@@ -211,7 +211,7 @@
     answer ? this->drawUpTo(this->options.longestAnswer) : kFetchTimeout;
   this->at(this->time + delay, aProcess, [this, aProcess, answer] {
     const std::uint64_t before = this->keepers[aProcess].revision();
-    this->keepers[aProcess].finished(answer, this->time);
+    this->keepers[aProcess].onFetchFinished(answer, this->time);
     this->note(aProcess, before);
     this->wake(aProcess);
   });
@@ -264,7 +264,7 @@
   ++this->costs.storeReads;
   Updates updates = aFetch.source == KeeperSource::StoreRows
                       ? this->store.updatesAfter(aFetch.have)
-                      : this->store.newestWhole();
+                      : this->store.newestWholeUpdate();
   this->costs.storeBytes += bytesOf(updates) + kStoreOverheadBytes;
   return updates;
 }
--- a/tests/unit/config/ConfigKeeperTest.cpp
+++ b/tests/unit/config/ConfigKeeperTest.cpp
@@ -54,7 +54,7 @@
   KeeperFetch await(ConfigKeeper& aKeeper)
   {
     for (int i = 0; i < 10; ++i) {
-      if (const auto fetch = aKeeper.next(this->now)) {
+      if (const auto fetch = aKeeper.nextFetch(this->now)) {
         return *fetch;
       }
       this->now = std::max(this->now, aKeeper.wakeAt());
@@ -68,7 +68,7 @@
   {
     ConfigKeeper keeper{ options(), this->now };
     EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
-    EXPECT_TRUE(keeper.finished(Updates{ whole(aRevision) }, this->now));
+    EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(aRevision) }, this->now));
     return keeper;
   }
 };
@@ -82,12 +82,12 @@
 {
   ConfigKeeper keeper{ options(), this->now };
   EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
-  keeper.finished(fail(ErrorKind::PlatformUnavailable), this->now);
+  keeper.onFetchFinished(fail(ErrorKind::PlatformUnavailable), this->now);
   EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_FALSE(keeper.finished(Updates{ whole(3) }, this->now));
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ whole(3) }, this->now));
   EXPECT_EQ(keeper.revision(), 0U);
   EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_TRUE(keeper.finished(Updates{ whole(5) }, this->now));
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(5) }, this->now));
   EXPECT_EQ(keeper.revision(), 5U);
 }
 
@@ -97,7 +97,7 @@
   for (int i = 0; i < 20; ++i) {
     this->await(keeper);
     EXPECT_FALSE(
-      keeper.finished(fail(ErrorKind::PlatformUnavailable), this->now));
+      keeper.onFetchFinished(fail(ErrorKind::PlatformUnavailable), this->now));
     EXPECT_EQ(keeper.configuration(), nullptr);
   }
 }
@@ -109,9 +109,9 @@
 TEST_F(ConfigKeeperTest, aLateAnswerNeverTakesTheRevisionBack)
 {
   ConfigKeeper keeper = this->running(7);
-  keeper.heard(kPeerA, 9, this->now);
+  keeper.onRevisionAnnounced(kPeerA, 9, this->now);
   EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_FALSE(keeper.finished(Updates{ whole(6) }, this->now));
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ whole(6) }, this->now));
   EXPECT_EQ(keeper.revision(), 7U);
   EXPECT_EQ(keeper.counters().staleUpdates, 1U);
 }
@@ -119,13 +119,13 @@
 TEST_F(ConfigKeeperTest, asksTheSenderFirstAndThenTheStore)
 {
   ConfigKeeper keeper = this->running(1);
-  keeper.heard(kPeerB, 2, this->now);
+  keeper.onRevisionAnnounced(kPeerB, 2, this->now);
   const KeeperFetch first = this->await(keeper);
   EXPECT_EQ(first.peer, kPeerB);
   EXPECT_EQ(first.have, 1U);
-  keeper.finished(fail(ErrorKind::Network), this->now);
+  keeper.onFetchFinished(fail(ErrorKind::Network), this->now);
   EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreRows);
-  EXPECT_TRUE(keeper.finished(Updates{ step(1) }, this->now));
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ step(1) }, this->now));
   EXPECT_EQ(keeper.revision(), 2U);
 }
 
@@ -140,10 +140,10 @@
   RevisionUpdate wrong = step(1);
   wrong.text.replace(wrong.text.find("62000"), 5, "63000");
   EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreRows);
-  EXPECT_FALSE(keeper.finished(Updates{ wrong }, this->now));
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ wrong }, this->now));
   EXPECT_EQ(keeper.revision(), 1U);
   EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
-  EXPECT_TRUE(keeper.finished(Updates{ whole(2) }, this->now));
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(2) }, this->now));
 }
 
 /**
@@ -156,11 +156,11 @@
   RevisionUpdate bad = whole(2);
   bad.text.replace(bad.text.find("max_deadline_ms"), 15, "max_deadline_xx");
   this->await(keeper);
-  EXPECT_FALSE(keeper.finished(Updates{ bad }, this->now));
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ bad }, this->now));
   EXPECT_EQ(keeper.revision(), 1U);
   EXPECT_NE(keeper.lastRefusal().find("revision 2"), std::string::npos);
   this->await(keeper);
-  EXPECT_TRUE(keeper.finished(Updates{ whole(3) }, this->now));
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(3) }, this->now));
   EXPECT_TRUE(keeper.lastRefusal().empty());
 }
 
@@ -169,7 +169,7 @@
   ConfigKeeper keeper = this->running(1);
   for (std::uint64_t i = 1; i < 4; ++i) {
     this->await(keeper);
-    ASSERT_TRUE(keeper.finished(Updates{ step(i) }, this->now));
+    ASSERT_TRUE(keeper.onFetchFinished(Updates{ step(i) }, this->now));
   }
   EXPECT_EQ(updateFromText(keeper.updateFor(2)).value().from, 2U);
   EXPECT_EQ(keeper.updateFor(0), textOf(4));
@@ -183,7 +183,7 @@
   ConfigKeeper keeper{ made, this->now };
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-    keeper.finished(fail(ErrorKind::Network), this->now);
+    keeper.onFetchFinished(fail(ErrorKind::Network), this->now);
   }
 }
 
--- a/tests/unit/config/ConfigStoreTest.cpp
+++ b/tests/unit/config/ConfigStoreTest.cpp
@@ -176,7 +176,7 @@
   EXPECT_EQ(this->headRevision(), 2U);
 
   slow.rebase = true;
-  slow.change = "c4";
+  slow.changeId = "c4";
   const auto rebased = this->store.push(slow);
   ASSERT_TRUE(rebased) << describe(rebased.error());
   EXPECT_EQ(rebased.value().revision, 3U);
@@ -198,7 +198,7 @@
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) });
   const auto pushed = this->store.push(second);
   ASSERT_TRUE(pushed) << describe(pushed.error());
-  EXPECT_TRUE(pushed.value().earlier);
+  EXPECT_TRUE(pushed.value().alreadyMade);
   EXPECT_EQ(pushed.value().revision, 2U);
   EXPECT_EQ(this->store.push(second).value().revision, 2U);
   EXPECT_EQ(this->headRevision(), 2U);
