--- a/include/poplartrack/config/ConfigKeeper.h
+++ b/include/poplartrack/config/ConfigKeeper.h
@@ -18,64 +18,69 @@
 
 namespace poplartrack {
 
-/** How a process keeps its configuration fresh. */
+/** Options of a ConfigKeeper. */
 struct KeeperOptions
 {
-  /** Sides learn from entries only; 2,700 more pollers are too many reads. */
+  /** False on sides, which fetch from entries only: 2,700 more processes that
+   * poll the store would be too many reads. */
   bool mayReadStore = true;
-  /** Mean time between two polls of the store, jittered by a quarter. */
+  /** Mean time between two polls of the store; jittered by up to a quarter. */
   Duration pollInterval = std::chrono::seconds{ 2 };
-  /** First wait after a failure; doubles up to the longest. */
-  Duration firstBackoff = std::chrono::milliseconds{ 100 };
-  /** Under the 6 s in which a change must be in force after an outage. */
-  Duration longestBackoff = std::chrono::seconds{ 3 };
-  /** Entries to ask at the start. */
+  /** Delay after the first failure; doubles up to maxBackoff. */
+  Duration initialBackoff = std::chrono::milliseconds{ 100 };
+  /** Longest delay after a failure. Less than the 6 s within which a change
+   * must be in force after an outage. */
+  Duration maxBackoff = std::chrono::seconds{ 3 };
+  /** Entries to ask at the start and while the store cannot be read. */
   std::vector<Address> peers;
-  /** Seed of the jitter; different in each process. */
+  /** Seed of the random delays and choices; different in each process. */
   std::uint64_t seed = 1;
 };
 
-/** Where a newer revision comes from. */
+/** Where a newer revision is read from. */
 enum class KeeperSource : std::uint8_t
 {
-  /** ConfigFetch to an entry. */
+  /** A ConfigFetch request to an entry. */
   Peer,
-  /** The history rows after the revision in force. */
+  /** The history rows after the revision in force, in the store. */
   StoreRows,
-  /** The newest history row's object, whole. */
+  /** The object with the whole text of the newest revision, in the store. */
   StoreText,
 };
 
-/** One read that the keeper wants done; answer it with onFetchFinished(). */
+/** A read that the caller does for the keeper. The caller reports the result
+ * with onFetchFinished(). */
 struct KeeperFetch
 {
   KeeperSource source = KeeperSource::Peer;
-  /** Peer only. */
+  /** The entry to ask; set for KeeperSource::Peer only. */
   Address peer;
-  /** Answer with revisions above this one; 0: with a whole text. */
+  /** Fetch the revisions above this one; 0: fetch the whole text. */
   std::uint64_t have = 0;
 };
 
-/** Counters of what a keeper met; each only grows. */
+/** Counters of a ConfigKeeper; they only increase. */
 struct KeeperCounters
 {
   std::uint64_t applied = 0;
   std::uint64_t peerFetches = 0;
   std::uint64_t storeReads = 0;
   std::uint64_t failedFetches = 0;
-  /** Updates that did not parse, check or lead to their hash. */
+  /** Updates whose text could not be read, or whose settings are invalid. */
   std::uint64_t refusedUpdates = 0;
-  /** Updates that were not above the revision in force. */
+  /** Updates to a revision not above the one in force. */
   std::uint64_t staleUpdates = 0;
 };
 
 /**
- * Which revision a process has in force, and what it does to learn of later
- * ones. A function of events and time: the caller does the reads.
+ * Holds the revision of the configuration that a process has in force, and
+ * decides when and where to fetch a later one. It does no I/O and reads no
+ * clock: the caller does the reads and passes in events and the time.
  *
- * The revision in force never goes back, whatever arrives in whatever order.
- * While starting, the keeper asks the store and all its peers and puts the
- * highest answer in force: a single peer may itself be behind.
+ * The revision in force never decreases, in whatever order updates arrive.
+ * While starting, the keeper asks the store first. If the store gives nothing
+ * usable, it asks its peers and puts their highest revision in force, because a
+ * single peer may itself be behind.
  */
 class ConfigKeeper
 {
@@ -83,107 +88,142 @@
   ConfigKeeper(KeeperOptions aOptions, TimePoint aNow);
 
   /**
-   * A message said that a revision is in force somewhere.
+   * Records that some process has a revision in force, as a message reported.
    *
-   * @param aPeer the entry that has it and can be asked; nothing when only a
-   *   side said so
+   * @param aPeer the entry that has the revision and can be asked for it;
+   *   nothing when the message came from a side
    */
   void onRevisionAnnounced(const std::optional<Address>& aPeer,
                            std::uint64_t aRevision,
                            TimePoint aNow);
 
-  /** The next read to do, if it is time; one is in flight at most. */
+  /** Returns the next read to do, or nothing while a read is in flight or none
+   * is due. */
   std::optional<KeeperFetch> nextFetch(TimePoint aNow);
 
   /**
-   * The read's answer: updates that follow each other, none when there is
-   * nothing newer. Returns true when another revision is in force now.
+   * Handles the result of the read in flight: consecutive updates, or none when
+   * nothing is newer. Returns true when it put another revision in force.
    */
   bool onFetchFinished(const Result<std::vector<RevisionUpdate>>& aUpdates,
                        TimePoint aNow);
 
-  /** When nextFetch() may want something, if nothing is heard before. */
+  /** Returns when to call nextFetch() again, unless an event comes before. */
   [[nodiscard]] TimePoint wakeAt() const;
 
   /** The revision in force; 0 while there is none. */
-  [[nodiscard]] std::uint64_t revision() const { return this->inForce; }
-  /** The highest revision heard of. */
-  [[nodiscard]] std::uint64_t newestHeard() const { return this->newest; }
+  [[nodiscard]] std::uint64_t revision() const { return this->revisionInForce; }
+  /** The highest revision that any process reported. */
+  [[nodiscard]] std::uint64_t newestKnown() const
+  {
+    return this->newestRevision;
+  }
   /** The configuration in force; null while there is none. */
   [[nodiscard]] std::shared_ptr<const Configuration> configuration() const
   {
     return this->document ? this->document->configuration() : nullptr;
   }
-  /** Its canonical text; empty while there is none. */
+  /** The canonical text of the revision in force; empty while there is none. */
   [[nodiscard]] std::string text() const
   {
     return this->document ? this->document->text() : std::string{};
   }
 
-  /** What a peer that has that revision needs; empty when nothing newer. */
-  [[nodiscard]] std::string updateFor(std::uint64_t aHave) const;
+  /** Returns the text of the update for a peer that has aPeerRevision; empty
+   * when the revision in force is not newer. */
+  [[nodiscard]] std::string updateFor(std::uint64_t aPeerRevision) const;
 
   [[nodiscard]] const KeeperCounters& counters() const { return this->counts; }
-  /** Why the last update was refused; empty when none was since. */
+  /** Why the last update was refused; empty once a later one is applied. */
   [[nodiscard]] const std::string& lastRefusal() const { return this->refusal; }
 
 private:
-  /** A peer that is known to be ahead. */
+  /** A peer with a revision above the one in force. */
   struct AheadPeer
   {
     Address address;
     std::uint64_t revision = 0;
   };
 
-  [[nodiscard]] bool starting() const { return this->inForce == 0; }
-  /** The store does not answer, or may not be read at all. */
-  [[nodiscard]] bool withoutStore() const
+  [[nodiscard]] bool isStarting() const { return this->revisionInForce == 0; }
+  /** Returns true when the last read of the store failed, or this process may
+   * not read the store. */
+  [[nodiscard]] bool storeUnusable() const
   {
     return !this->options.mayReadStore || this->storeFailures > 0;
   }
-  [[nodiscard]] bool wantsAnyPeer() const;
-  void beginRound();
-  void endRound(TimePoint aNow);
-  std::optional<KeeperFetch> nextOfRound();
-  std::optional<KeeperFetch> nextWhileRunning(TimePoint aNow);
+  /** Returns true when to ask a random peer, if none is known to be ahead. */
+  [[nodiscard]] bool shouldAskAnyPeer() const;
+  /** Chooses whom to ask in a round of the start: the store and some peers. */
+  void beginStartRound();
+  /** Ends a round of the start that put nothing in force; sets the backoff. */
+  void endStartRound(TimePoint aNow);
+  /** Returns the next read of the current round of the start. */
+  std::optional<KeeperFetch> nextStartFetch();
+  /** Returns the next read once a revision is in force. */
+  std::optional<KeeperFetch> nextRunningFetch(TimePoint aNow);
   KeeperFetch fetchFromPeer(const Address& aPeer);
   KeeperFetch fetchFromStore();
-  bool finishedOfRound(const KeeperFetch& aFetch,
-                       const Result<std::vector<RevisionUpdate>>& aUpdates,
-                       TimePoint aNow);
-  bool offer(const RevisionUpdate& aUpdate);
-  bool finishedWhileRunning(const KeeperFetch& aFetch,
+  /** Handles a result while starting. Returns true when it put a revision in
+   * force, which ends the start. */
+  bool onStartFetchFinished(const KeeperFetch& aFetch,
                             const Result<std::vector<RevisionUpdate>>& aUpdates,
                             TimePoint aNow);
-  void schedule(const KeeperFetch& aFetch, bool aOk, TimePoint aNow);
+  /** Keeps a whole update as the best candidate of the round if it is the
+   * highest so far. Returns true when it was kept. */
+  bool addCandidate(const RevisionUpdate& aUpdate);
+  /** Handles a result once a revision is in force. Returns true when it put a
+   * later one in force. */
+  bool onRunningFetchFinished(
+    const KeeperFetch& aFetch,
+    const Result<std::vector<RevisionUpdate>>& aUpdates,
+    TimePoint aNow);
+  /** Sets the time of the next read of the same kind of source. */
+  void scheduleNextFetch(const KeeperFetch& aFetch, bool aOk, TimePoint aNow);
+  /** Applies the updates that are newer than the revision in force. Returns
+   * true when that put another revision in force. */
   bool apply(const std::vector<RevisionUpdate>& aUpdates);
-  bool takeWhole(const RevisionUpdate& aUpdate);
-  bool takeSteps(const std::vector<RevisionUpdate>& aUpdates);
-  void nowInForce(const RevisionUpdate& aUpdate);
-  void refuse(std::uint64_t aRevision, std::string aWhy);
+  /** Puts the revision of a whole text in force. */
+  bool applyWhole(const RevisionUpdate& aUpdate);
+  /** Applies consecutive steps to the document in force. If they do not give
+   * the text with their hash, the next fetch gets the whole text. */
+  bool applySteps(const std::vector<RevisionUpdate>& aUpdates);
+  /** Updates the state after aUpdate was applied to the document. */
+  void onApplied(const RevisionUpdate& aUpdate);
+  /** Counts a refused update and keeps the reason. */
+  void recordRefusal(std::uint64_t aRevision, std::string aWhy);
   void forgetPeer(const Address& aPeer);
+  /** Returns a random duration within a quarter of the mean. */
   Duration jittered(Duration aMean);
+  /** Returns the delay after consecutive failures: doubled for each, up to
+   * maxBackoff, and jittered. */
   Duration backoffAfter(std::uint32_t aFailures);
 
   KeeperOptions options;
   std::mt19937_64 random;
-  std::uint64_t inForce = 0;
-  std::uint64_t newest = 0;
+  std::uint64_t revisionInForce = 0;
+  /** The highest revision that any process reported. */
+  std::uint64_t newestRevision = 0;
   std::optional<RevisionDocument> document;
-  RevisionLog log;
-  std::vector<AheadPeer> ahead;
+  RevisionLog recentUpdates;
+  /** The peer that reported last comes last. */
+  std::vector<AheadPeer> aheadPeers;
   std::optional<KeeperFetch> inFlight;
-  /** Start: who is still to be asked in this round, and the best answer
-   * that could be used. */
+  /** Peers still to ask in the current round of the start. */
   std::vector<Address> peersToAsk;
+  /** The store is still to be asked in the current round of the start. */
   bool storeToAsk = false;
-  RevisionUpdate best;
-  /** The next fetch must be whole: steps did not lead to their hash. */
-  bool wantWhole = false;
-  /** A revision whose whole text was refused; it is not asked for again. */
-  std::uint64_t badRevision = 0;
-  TimePoint pollAt;
-  TimePoint askAt;
+  /** Highest valid whole update of the current round of the start. */
+  RevisionUpdate bestCandidate;
+  /** The next fetch must get the whole text, because the last steps did not
+   * give the text with their hash. */
+  bool needsWholeText = false;
+  /** The last refused revision. When steps to it fail again, the whole text is
+   * not fetched again. */
+  std::uint64_t refusedRevision = 0;
+  TimePoint nextStorePollAt;
+  /** While starting: the time of the next round, which also reads the store. */
+  TimePoint nextPeerFetchAt;
   std::uint32_t storeFailures = 0;
   std::uint32_t peerFailures = 0;
   KeeperCounters counts;
--- a/src/config/ConfigKeeper.cpp
+++ b/src/config/ConfigKeeper.cpp
@@ -9,18 +9,19 @@
 namespace poplartrack {
 namespace {
 
-/** Peers known to be ahead that are remembered. */
+/** Most peers with a later revision that are kept. */
 constexpr std::size_t kMaxAheadPeers = 8;
-/** Least time between two fetches: a burst of pushes is fetched in bunches. */
-constexpr Duration kFetchGap = std::chrono::milliseconds{ 250 };
+/** Shortest time between two fetches from peers. One fetch then gets several
+ * revisions of a burst of pushes. */
+constexpr Duration kMinFetchInterval = std::chrono::milliseconds{ 250 };
 
 } // namespace
 
 ConfigKeeper::ConfigKeeper(KeeperOptions aOptions, TimePoint aNow)
   : options(std::move(aOptions))
   , random(this->options.seed)
-  , pollAt(aNow)
-  , askAt(aNow + this->jittered(this->options.firstBackoff))
+  , nextStorePollAt(aNow)
+  , nextPeerFetchAt(aNow + this->jittered(this->options.initialBackoff))
 {
 }
 
@@ -29,28 +30,28 @@
                                   std::uint64_t aRevision,
                                   TimePoint aNow)
 {
-  if (aRevision <= this->inForce) {
+  if (aRevision <= this->revisionInForce) {
     return;
   }
-  this->newest = std::max(this->newest, aRevision);
+  this->newestRevision = std::max(this->newestRevision, aRevision);
   if (!aPeer) {
     return;
   }
-  if (this->starting() && this->peersToAsk.empty() && !this->inFlight) {
-    // Nobody could be asked so far; now somebody can.
-    this->askAt = std::min(this->askAt, aNow);
+  if (this->isStarting() && this->peersToAsk.empty() && !this->inFlight) {
+    // The last round of the start is over; begin one with this peer at once.
+    this->nextPeerFetchAt = std::min(this->nextPeerFetchAt, aNow);
   }
   this->forgetPeer(*aPeer);
-  this->ahead.push_back(AheadPeer{ *aPeer, aRevision });
-  if (this->ahead.size() > kMaxAheadPeers) {
-    this->ahead.erase(this->ahead.begin());
+  this->aheadPeers.push_back(AheadPeer{ *aPeer, aRevision });
+  if (this->aheadPeers.size() > kMaxAheadPeers) {
+    this->aheadPeers.erase(this->aheadPeers.begin());
   }
 }
 
 void
 ConfigKeeper::forgetPeer(const Address& aPeer)
 {
-  std::erase_if(this->ahead, [&](const AheadPeer& aKnown) {
+  std::erase_if(this->aheadPeers, [&](const AheadPeer& aKnown) {
     return aKnown.address == aPeer;
   });
 }
@@ -67,12 +68,13 @@
   if (!aUpdates) {
     ++this->counts.failedFetches;
   }
-  return this->starting() ? this->finishedOfRound(fetch, aUpdates, aNow)
-                          : this->finishedWhileRunning(fetch, aUpdates, aNow);
+  return this->isStarting()
+           ? this->onStartFetchFinished(fetch, aUpdates, aNow)
+           : this->onRunningFetchFinished(fetch, aUpdates, aNow);
 }
 
 bool
-ConfigKeeper::finishedOfRound(
+ConfigKeeper::onStartFetchFinished(
   const KeeperFetch& aFetch,
   const Result<std::vector<RevisionUpdate>>& aUpdates,
   TimePoint aNow)
@@ -80,77 +82,84 @@
   bool usable = false;
   if (aUpdates) {
     for (const RevisionUpdate& update : aUpdates.value()) {
-      usable = this->offer(update) || usable;
+      usable = this->addCandidate(update) || usable;
     }
   }
-  // The store knows the newest revision; of peers the highest answer counts,
-  // since any of them may be behind.
+  // The store has the newest revision, so its answer ends the round. Any peer
+  // may be behind, so all of them are asked and the highest answer is used.
   const bool fromStore = aFetch.source != KeeperSource::Peer;
-  const bool decided = fromStore && usable;
-  if (!decided && !this->peersToAsk.empty()) {
+  const bool storeAnswered = fromStore && usable;
+  if (!storeAnswered && !this->peersToAsk.empty()) {
     return false;
   }
   this->peersToAsk.clear();
-  const RevisionUpdate chosen = std::exchange(this->best, RevisionUpdate{});
-  if (chosen.to > 0 && this->takeWhole(chosen)) {
-    this->askAt = aNow;
-    this->pollAt = aNow + this->jittered(this->options.pollInterval);
+  const RevisionUpdate chosen =
+    std::exchange(this->bestCandidate, RevisionUpdate{});
+  if (chosen.to > 0 && this->applyWhole(chosen)) {
+    this->nextPeerFetchAt = aNow;
+    this->nextStorePollAt = aNow + this->jittered(this->options.pollInterval);
     this->peerFailures = 0;
-    this->storeFailures = decided ? 0 : 1;
+    this->storeFailures = storeAnswered ? 0 : 1;
     return true;
   }
-  this->endRound(aNow);
+  this->endStartRound(aNow);
   return false;
 }
 
 bool
-ConfigKeeper::offer(const RevisionUpdate& aUpdate)
+ConfigKeeper::addCandidate(const RevisionUpdate& aUpdate)
 {
-  if (aUpdate.from != 0 || aUpdate.to <= this->best.to) {
+  if (aUpdate.from != 0 || aUpdate.to <= this->bestCandidate.to) {
     return false;
   }
   const Result<Configuration> configuration = fromRevisionText(aUpdate.text);
   if (!configuration) {
-    this->refuse(aUpdate.to, configuration.error().detail);
+    this->recordRefusal(aUpdate.to, configuration.error().detail);
     return false;
   }
-  this->best = aUpdate;
+  this->bestCandidate = aUpdate;
   return true;
 }
 
 bool
-ConfigKeeper::finishedWhileRunning(
+ConfigKeeper::onRunningFetchFinished(
   const KeeperFetch& aFetch,
   const Result<std::vector<RevisionUpdate>>& aUpdates,
   TimePoint aNow)
 {
   const bool applied = aUpdates && this->apply(aUpdates.value());
   if (aFetch.source == KeeperSource::Peer && !applied) {
-    // It is not ahead after all, is gone, or has what nobody can use.
+    // The peer is not ahead, does not answer, or sent an unusable update.
     this->forgetPeer(aFetch.peer);
   }
-  this->schedule(aFetch, aUpdates.ok(), aNow);
-  const bool more = applied && aUpdates.value().size() >= kMaxUpdatesPerRead;
-  if (aFetch.source == KeeperSource::StoreRows && (more || this->wantWhole)) {
-    this->pollAt = aNow;
+  this->scheduleNextFetch(aFetch, aUpdates.ok(), aNow);
+  const bool moreRows =
+    applied && aUpdates.value().size() >= kMaxUpdatesPerRead;
+  if (aFetch.source == KeeperSource::StoreRows &&
+      (moreRows || this->needsWholeText)) {
+    this->nextStorePollAt = aNow;
   }
   return applied;
 }
 
 void
-ConfigKeeper::schedule(const KeeperFetch& aFetch, bool aOk, TimePoint aNow)
+ConfigKeeper::scheduleNextFetch(const KeeperFetch& aFetch,
+                                bool aOk,
+                                TimePoint aNow)
 {
   if (aFetch.source == KeeperSource::Peer) {
     this->peerFailures = aOk ? 0 : this->peerFailures + 1;
-    this->askAt =
-      aNow + (aOk && !this->withoutStore()
-                ? kFetchGap
-                : std::max(this->backoffAfter(this->peerFailures), kFetchGap));
+    this->nextPeerFetchAt =
+      aNow +
+      (aOk && !this->storeUnusable()
+         ? kMinFetchInterval
+         : std::max(this->backoffAfter(this->peerFailures), kMinFetchInterval));
     return;
   }
   this->storeFailures = aOk ? 0 : this->storeFailures + 1;
-  this->pollAt = aNow + (aOk ? this->jittered(this->options.pollInterval)
-                             : this->backoffAfter(this->storeFailures));
+  this->nextStorePollAt =
+    aNow + (aOk ? this->jittered(this->options.pollInterval)
+                : this->backoffAfter(this->storeFailures));
 }
 
 bool
@@ -158,7 +167,7 @@
 {
   std::vector<RevisionUpdate> newer;
   for (const RevisionUpdate& update : aUpdates) {
-    if (update.to > this->inForce) {
+    if (update.to > this->revisionInForce) {
       newer.push_back(update);
     } else {
       ++this->counts.staleUpdates;
@@ -167,31 +176,31 @@
   if (newer.empty()) {
     return false;
   }
-  return newer.back().from == 0 ? this->takeWhole(newer.back())
-                                : this->takeSteps(newer);
+  return newer.back().from == 0 ? this->applyWhole(newer.back())
+                                : this->applySteps(newer);
 }
 
 bool
-ConfigKeeper::takeWhole(const RevisionUpdate& aUpdate)
+ConfigKeeper::applyWhole(const RevisionUpdate& aUpdate)
 {
-  this->wantWhole = false;
+  this->needsWholeText = false;
   Result<RevisionDocument> read = RevisionDocument::create(aUpdate.text);
   if (!read) {
-    this->refuse(aUpdate.to, read.error().detail);
+    this->recordRefusal(aUpdate.to, read.error().detail);
     return false;
   }
   const std::uint64_t revision = read.value().configuration()->revision;
-  if (revision <= this->inForce) {
+  if (revision <= this->revisionInForce) {
     ++this->counts.staleUpdates;
     return false;
   }
   this->document = std::move(read).value();
-  this->nowInForce(aUpdate);
+  this->onApplied(aUpdate);
   return true;
 }
 
 bool
-ConfigKeeper::takeSteps(const std::vector<RevisionUpdate>& aUpdates)
+ConfigKeeper::applySteps(const std::vector<RevisionUpdate>& aUpdates)
 {
   const std::uint64_t target = aUpdates.back().to;
   const Result<RevisionUpdate> joined = joinUpdates(aUpdates);
@@ -199,48 +208,48 @@
     joined ? this->document->apply(joined.value())
            : Result<Done>{ fail(ErrorKind::Malformed, joined.error().detail) };
   if (applied) {
-    this->nowInForce(joined.value());
+    this->onApplied(joined.value());
     return true;
   }
   if (applied.error().kind == ErrorKind::BadSettings) {
-    this->refuse(target, applied.error().detail);
+    this->recordRefusal(target, applied.error().detail);
     return false;
   }
-  this->wantWhole = target != this->badRevision;
+  this->needsWholeText = target != this->refusedRevision;
   return false;
 }
 
 void
-ConfigKeeper::nowInForce(const RevisionUpdate& aUpdate)
+ConfigKeeper::onApplied(const RevisionUpdate& aUpdate)
 {
-  this->wantWhole = false;
-  this->inForce = this->document->configuration()->revision;
-  this->newest = std::max(this->newest, this->inForce);
-  this->log.add(aUpdate);
+  this->needsWholeText = false;
+  this->revisionInForce = this->document->configuration()->revision;
+  this->newestRevision = std::max(this->newestRevision, this->revisionInForce);
+  this->recentUpdates.add(aUpdate);
   this->refusal.clear();
   ++this->counts.applied;
-  std::erase_if(this->ahead, [&](const AheadPeer& aKnown) {
-    return aKnown.revision <= this->inForce;
+  std::erase_if(this->aheadPeers, [&](const AheadPeer& aKnown) {
+    return aKnown.revision <= this->revisionInForce;
   });
 }
 
 void
-ConfigKeeper::refuse(std::uint64_t aRevision, std::string aWhy)
+ConfigKeeper::recordRefusal(std::uint64_t aRevision, std::string aWhy)
 {
   ++this->counts.refusedUpdates;
-  this->badRevision = aRevision;
+  this->refusedRevision = aRevision;
   this->refusal =
     "revision " + std::to_string(aRevision) + " refused: " + std::move(aWhy);
 }
 
 std::string
-ConfigKeeper::updateFor(std::uint64_t aHave) const
+ConfigKeeper::updateFor(std::uint64_t aPeerRevision) const
 {
-  if (this->inForce <= aHave) {
+  if (this->revisionInForce <= aPeerRevision) {
     return {};
   }
-  if (aHave > 0) {
-    if (const auto steps = this->log.since(aHave)) {
+  if (aPeerRevision > 0) {
+    if (const auto steps = this->recentUpdates.since(aPeerRevision)) {
       return steps->text;
     }
   }
--- a/src/config/ConfigKeeperFetch.cpp
+++ b/src/config/ConfigKeeperFetch.cpp
@@ -1,5 +1,5 @@
-// What the keeper reads next, and when; ConfigKeeper.cpp has what it does with
-// the answers.
+// Chooses what ConfigKeeper reads next, and when. ConfigKeeper.cpp handles the
+// results.
 
 #include <algorithm>
 #include <utility>
@@ -9,28 +9,30 @@
 namespace poplartrack {
 namespace {
 
-/** Peers asked in one round of a start. */
-constexpr std::size_t kMaxPeersOfRound = 5;
-constexpr std::uint32_t kMaxDoublings = 16;
+/** Most peers asked in one round of the start, unless more are known to have
+ * a later revision. */
+constexpr std::size_t kMaxPeersPerStartRound = 5;
+/** Keeps the shift of the backoff in range. */
+constexpr std::uint32_t kMaxBackoffDoublings = 16;
 
 } // namespace
 
 Duration
 ConfigKeeper::jittered(Duration aMean)
 {
-  std::uniform_int_distribution<Duration::rep> draw(aMean.count() * 3 / 4,
-                                                    aMean.count() * 5 / 4);
-  return Duration{ draw(this->random) };
+  std::uniform_int_distribution<Duration::rep> distribution(
+    aMean.count() * 3 / 4, aMean.count() * 5 / 4);
+  return Duration{ distribution(this->random) };
 }
 
 Duration
 ConfigKeeper::backoffAfter(std::uint32_t aFailures)
 {
   const std::uint32_t doublings =
-    std::min(aFailures > 0 ? aFailures - 1 : 0, kMaxDoublings);
+    std::min(aFailures > 0 ? aFailures - 1 : 0, kMaxBackoffDoublings);
   const Duration mean =
-    std::min(this->options.firstBackoff * (std::int64_t{ 1 } << doublings),
-             this->options.longestBackoff);
+    std::min(this->options.initialBackoff * (std::int64_t{ 1 } << doublings),
+             this->options.maxBackoff);
   return this->jittered(mean);
 }
 
@@ -38,7 +40,7 @@
 ConfigKeeper::fetchFromPeer(const Address& aPeer)
 {
   ++this->counts.peerFetches;
-  const std::uint64_t have = this->wantWhole ? 0 : this->inForce;
+  const std::uint64_t have = this->needsWholeText ? 0 : this->revisionInForce;
   return KeeperFetch{ KeeperSource::Peer, aPeer, have };
 }
 
@@ -46,34 +48,34 @@
 ConfigKeeper::fetchFromStore()
 {
   ++this->counts.storeReads;
-  const bool whole = this->wantWhole || this->starting();
+  const bool whole = this->needsWholeText || this->isStarting();
   return KeeperFetch{ whole ? KeeperSource::StoreText : KeeperSource::StoreRows,
                       {},
-                      this->inForce };
+                      this->revisionInForce };
 }
 
 void
-ConfigKeeper::beginRound()
+ConfigKeeper::beginStartRound()
 {
   this->storeToAsk = this->options.mayReadStore;
   this->peersToAsk.clear();
-  for (const AheadPeer& peer : this->ahead) {
+  for (const AheadPeer& peer : this->aheadPeers) {
     this->peersToAsk.push_back(peer.address);
   }
   std::vector<Address> others = this->options.peers;
   std::shuffle(others.begin(), others.end(), this->random);
   for (const Address& peer : others) {
-    const bool known =
+    const bool listed =
       std::find(this->peersToAsk.begin(), this->peersToAsk.end(), peer) !=
       this->peersToAsk.end();
-    if (!known && this->peersToAsk.size() < kMaxPeersOfRound) {
+    if (!listed && this->peersToAsk.size() < kMaxPeersPerStartRound) {
       this->peersToAsk.push_back(peer);
     }
   }
 }
 
 std::optional<KeeperFetch>
-ConfigKeeper::nextOfRound()
+ConfigKeeper::nextStartFetch()
 {
   if (std::exchange(this->storeToAsk, false)) {
     return this->fetchFromStore();
@@ -87,41 +89,43 @@
 }
 
 void
-ConfigKeeper::endRound(TimePoint aNow)
+ConfigKeeper::endStartRound(TimePoint aNow)
 {
   ++this->peerFailures;
-  this->askAt = aNow + this->backoffAfter(this->peerFailures);
+  this->nextPeerFetchAt = aNow + this->backoffAfter(this->peerFailures);
 }
 
 bool
-ConfigKeeper::wantsAnyPeer() const
+ConfigKeeper::shouldAskAnyPeer() const
 {
-  return this->withoutStore() && !this->options.peers.empty() &&
-         (this->storeFailures > 0 || this->newest > this->inForce);
+  return this->storeUnusable() && !this->options.peers.empty() &&
+         (this->storeFailures > 0 ||
+          this->newestRevision > this->revisionInForce);
 }
 
 std::optional<KeeperFetch>
-ConfigKeeper::nextWhileRunning(TimePoint aNow)
+ConfigKeeper::nextRunningFetch(TimePoint aNow)
 {
-  const bool mayAsk = aNow >= this->askAt;
-  if (mayAsk && !this->ahead.empty()) {
+  const bool mayAskPeer = aNow >= this->nextPeerFetchAt;
+  if (mayAskPeer && !this->aheadPeers.empty()) {
     const auto highest =
-      std::max_element(this->ahead.begin(),
-                       this->ahead.end(),
+      std::max_element(this->aheadPeers.begin(),
+                       this->aheadPeers.end(),
                        [](const AheadPeer& aLeft, const AheadPeer& aRight) {
                          return aLeft.revision < aRight.revision;
                        });
     return this->fetchFromPeer(highest->address);
   }
-  if (this->options.mayReadStore && aNow >= this->pollAt) {
+  if (this->options.mayReadStore && aNow >= this->nextStorePollAt) {
     return this->fetchFromStore();
   }
-  if (mayAsk && this->wantsAnyPeer()) {
-    // In an outage an entry that hears nothing still has to learn what the
-    // others got before it began: it asks one of them now and then.
-    std::uniform_int_distribution<std::size_t> draw(
+  if (mayAskPeer && this->shouldAskAnyPeer()) {
+    // While the store cannot be read, a process that gets no reports may still
+    // lack a revision that others fetched before the outage. It asks a random
+    // peer at intervals.
+    std::uniform_int_distribution<std::size_t> distribution(
       0, this->options.peers.size() - 1);
-    return this->fetchFromPeer(this->options.peers[draw(this->random)]);
+    return this->fetchFromPeer(this->options.peers[distribution(this->random)]);
   }
   return std::nullopt;
 }
@@ -132,19 +136,19 @@
   if (this->inFlight) {
     return std::nullopt;
   }
-  if (!this->starting()) {
-    this->inFlight = this->nextWhileRunning(aNow);
+  if (!this->isStarting()) {
+    this->inFlight = this->nextRunningFetch(aNow);
     return this->inFlight;
   }
-  if (aNow < this->askAt) {
+  if (aNow < this->nextPeerFetchAt) {
     return std::nullopt;
   }
   if (!this->storeToAsk && this->peersToAsk.empty()) {
-    this->beginRound();
+    this->beginStartRound();
   }
-  this->inFlight = this->nextOfRound();
+  this->inFlight = this->nextStartFetch();
   if (!this->inFlight) {
-    this->endRound(aNow);
+    this->endStartRound(aNow);
   }
   return this->inFlight;
 }
@@ -155,15 +159,15 @@
   if (this->inFlight) {
     return TimePoint::max();
   }
-  if (this->starting()) {
-    return this->askAt;
+  if (this->isStarting()) {
+    return this->nextPeerFetchAt;
   }
   TimePoint wake = TimePoint::max();
   if (this->options.mayReadStore) {
-    wake = std::min(wake, this->pollAt);
+    wake = std::min(wake, this->nextStorePollAt);
   }
-  if (!this->ahead.empty() || this->wantsAnyPeer()) {
-    wake = std::min(wake, this->askAt);
+  if (!this->aheadPeers.empty() || this->shouldAskAnyPeer()) {
+    wake = std::min(wake, this->nextPeerFetchAt);
   }
   return wake;
 }
