--- a/include/poplartrack/config/ConfigReader.h
+++ b/include/poplartrack/config/ConfigReader.h
@@ -13,18 +13,19 @@
 
 namespace poplartrack {
 
-/** Table with the one head row. */
+/** Table whose only row names the newest accepted revision. */
 inline constexpr const char* kConfigTable = "config";
+/** Key of the only row in kConfigTable, the head row. */
 inline constexpr const char* kConfigHeadKey = "head";
-/** Table with a row for each revision, keyed by revisionKey(). */
+/** Table with one row per revision, keyed by revisionKey(). */
 inline constexpr const char* kConfigHistoryTable = "config_history";
-/** Table with a row for each change id: the revision that it made. */
+/** Table with one row per change id: the revision that the push made. */
 inline constexpr const char* kConfigChangesTable = "config_changes";
 
-/** Most updates that one read of the store gives. */
+/** Most updates that one read of the store returns. */
 constexpr std::size_t kMaxUpdatesPerRead = 128;
 
-/** Reads the revisions of the configuration; the calls block. */
+/** Reads the revisions of the configuration from the store; calls block. */
 template<PlatformLike Platform>
 class ConfigReader
 {
@@ -34,70 +35,75 @@
   {
   }
 
-  /** The head row, or nothing before the first push. */
+  /** Returns the head row, or nothing before the first push. */
   Result<std::optional<ConfigHead>> head();
 
-  /** Records of the revisions after one, oldest first. */
+  /** Returns the records of at most aLimit revisions after aAfter, oldest
+   * first. */
   Result<std::vector<RevisionRecord>> history(std::uint64_t aAfter,
                                               std::size_t aLimit);
 
-  /** The record of one revision; NotFound when there is none. */
+  /** Returns the record of a revision; NotFound when there is none. */
   Result<RevisionRecord> record(std::uint64_t aRevision);
 
-  /** The canonical text of a revision. */
+  /** Returns the canonical text of a revision. */
   Result<std::string> text(std::uint64_t aRevision);
 
   /**
-   * The updates from one revision on, oldest first, in one read; none when
-   * nothing is newer. An update that was too large for its row has no text.
+   * Returns the updates after a revision, oldest first, with one read of the
+   * store; none when nothing is newer. The text of an update that was too large
+   * for its row is empty.
    */
   Result<std::vector<RevisionUpdate>> updatesAfter(std::uint64_t aRevision);
 
-  /** The newest revision as one whole update; none before the first push. */
+  /** Returns the newest revision as one whole update; none before the first
+   * push. */
   Result<std::vector<RevisionUpdate>> newestWholeUpdate();
 
-  /** The source files of a revision. */
+  /** Returns the source files of a revision; none for revision 0. */
   Result<std::vector<StoredFile>> files(std::uint64_t aRevision);
 
 protected:
-  struct Head
+  /** The head row with its version for a compare-and-set. */
+  struct HeadRow
   {
     ConfigHead head;
-    /** Version of the row; 0: there is no row. */
+    /** Version of the row; 0: the row does not exist. */
     std::uint64_t rowVersion = 0;
   };
 
-  Result<Head> readHead();
-  /** The revision that a push made, or nothing when it made none. */
+  Result<HeadRow> readHeadRow();
+  /** Returns the revision that the push with a change id made, or nothing when
+   * there is none. */
   Result<std::optional<std::uint64_t>> revisionOfChange(
-    const std::string& aChange);
+    const std::string& aChangeId);
 
   Platform& platform;
 };
 
 template<PlatformLike Platform>
 auto
-ConfigReader<Platform>::readHead() -> Result<Head>
+ConfigReader<Platform>::readHeadRow() -> Result<HeadRow>
 {
   const auto row = this->platform.readRow(kConfigTable, kConfigHeadKey);
   if (!row) {
     return row.error();
   }
   if (!row.value()) {
-    return Head{};
+    return HeadRow{};
   }
   const Result<ConfigHead> head = configHeadFromText(row.value()->value);
   if (!head) {
     return head.error();
   }
-  return Head{ head.value(), row.value()->version };
+  return HeadRow{ head.value(), row.value()->version };
 }
 
 template<PlatformLike Platform>
 Result<std::optional<ConfigHead>>
 ConfigReader<Platform>::head()
 {
-  const Result<Head> head = this->readHead();
+  const Result<HeadRow> head = this->readHeadRow();
   if (!head) {
     return head.error();
   }
@@ -175,7 +181,7 @@
 Result<std::vector<RevisionUpdate>>
 ConfigReader<Platform>::newestWholeUpdate()
 {
-  const Result<Head> head = this->readHead();
+  const Result<HeadRow> head = this->readHeadRow();
   if (!head) {
     return head.error();
   }
@@ -213,9 +219,9 @@
 
 template<PlatformLike Platform>
 Result<std::optional<std::uint64_t>>
-ConfigReader<Platform>::revisionOfChange(const std::string& aChange)
+ConfigReader<Platform>::revisionOfChange(const std::string& aChangeId)
 {
-  const auto row = this->platform.readRow(kConfigChangesTable, aChange);
+  const auto row = this->platform.readRow(kConfigChangesTable, aChangeId);
   if (!row) {
     return row.error();
   }
--- a/include/poplartrack/config/ConfigStore.inl.h
+++ b/include/poplartrack/config/ConfigStore.inl.h
@@ -9,21 +9,23 @@
 
 namespace poplartrack {
 
-/** Tries of one platform call whose answer was lost. */
-inline constexpr int kPlatformTries = 4;
-/** Tries of a rebased push that others overtake each time. */
-inline constexpr int kRebaseTries = 5;
-/** Revisions that a conflict names; the rest are counted. */
-inline constexpr std::size_t kConflictRevisions = 20;
+/** Most attempts of one platform call while its outcome is unknown. */
+inline constexpr int kMaxPlatformAttempts = 4;
+/** Most attempts of a push with rebase when other pushes commit before it.
+ * Without rebase there are two. */
+inline constexpr int kMaxPushAttempts = 5;
+/** Most revisions that the detail of a conflict names, oldest first. */
+inline constexpr std::size_t kMaxConflictRevisions = 20;
 
 template<PlatformLike Platform>
 Error
-ConfigStore<Platform>::conflictSince(std::uint64_t aBase, std::uint64_t aHead)
+ConfigStore<Platform>::conflictSince(std::uint64_t aBaseRevision,
+                                     std::uint64_t aHeadRevision)
 {
   std::string detail = "the folder was edited from revision " +
-                       std::to_string(aBase) + ", revision " +
-                       std::to_string(aHead) + " is in force";
-  const auto between = this->history(aBase, kConflictRevisions);
+                       std::to_string(aBaseRevision) + ", revision " +
+                       std::to_string(aHeadRevision) + " is in force";
+  const auto between = this->history(aBaseRevision, kMaxConflictRevisions);
   if (!between) {
     return fail(ErrorKind::Conflict, std::move(detail));
   }
@@ -40,19 +42,19 @@
 template<PlatformLike Platform>
 Result<std::vector<SettingsFile>>
 ConfigStore<Platform>::filesToPush(const PushRequest& aRequest,
-                                   const Head& aHead)
+                                   const HeadRow& aHeadRow)
 {
-  if (aRequest.baseRevision == aHead.head.revision) {
+  if (aRequest.baseRevision == aHeadRow.head.revision) {
     return aRequest.files;
   }
-  if (!aRequest.rebase || aRequest.baseRevision > aHead.head.revision) {
-    return this->conflictSince(aRequest.baseRevision, aHead.head.revision);
+  if (!aRequest.rebase || aRequest.baseRevision > aHeadRow.head.revision) {
+    return this->conflictSince(aRequest.baseRevision, aHeadRow.head.revision);
   }
   const auto base = this->files(aRequest.baseRevision);
   if (!base) {
     return base.error();
   }
-  const auto theirs = this->files(aHead.head.revision);
+  const auto theirs = this->files(aHeadRow.head.revision);
   if (!theirs) {
     return theirs.error();
   }
@@ -61,8 +63,8 @@
 
 template<PlatformLike Platform>
 Result<std::string>
-ConfigStore<Platform>::updateFrom(std::uint64_t aRevision,
-                                  const std::string& aNewText)
+ConfigStore<Platform>::updateTextFrom(std::uint64_t aRevision,
+                                      const std::string& aNewText)
 {
   if (aRevision == 0) {
     return std::string{};
@@ -80,16 +82,17 @@
 
 template<PlatformLike Platform>
 Result<Done>
-ConfigStore<Platform>::put(const std::string& aName, const std::string& aBytes)
+ConfigStore<Platform>::putWithRetries(const std::string& aName,
+                                      const std::string& aBytes)
 {
   Result<Done> answer = Done{};
-  for (int i = 0; i < kPlatformTries; ++i) {
+  for (int i = 0; i < kMaxPlatformAttempts; ++i) {
     answer = this->platform.putObject(aName, aBytes);
     if (!answer && answer.error().kind == ErrorKind::Conflict) {
       return fail(ErrorKind::BadSettings,
                   "the change id was used with other files; take a new one");
     }
-    // The same bytes may be put again at will.
+    // Putting the same bytes again is idempotent.
     if (answer || answer.error().kind != ErrorKind::PlatformUnknown) {
       return answer;
     }
@@ -101,45 +104,48 @@
 template<PlatformLike Platform>
 Result<PushOutcome>
 ConfigStore<Platform>::commit(const PushRequest& aRequest,
-                              const Head& aHead,
+                              const HeadRow& aHeadRow,
                               const RevisionRecord& aRecord,
                               std::vector<SettingsFile> aFiles)
 {
   const std::string head =
     toText(ConfigHead{ aRecord.revision, aRequest.changeId });
   const std::vector<TableWrite> writes{
-    { kConfigTable, kConfigHeadKey, aHead.rowVersion, head },
+    { kConfigTable, kConfigHeadKey, aHeadRow.rowVersion, head },
     { kConfigHistoryTable, revisionKey(aRecord.revision), 0, toText(aRecord) },
     { kConfigChangesTable, aRequest.changeId, 0, head },
   };
-  bool lost = false;
-  for (int i = 0; i < kPlatformTries; ++i) {
+  bool answerLost = false;
+  for (int i = 0; i < kMaxPlatformAttempts; ++i) {
     const auto answer = this->platform.transact(writes);
     if (answer) {
       return PushOutcome{ aRecord.revision, false, false, std::move(aFiles) };
     }
     const ErrorKind kind = answer.error().kind;
-    if (kind == ErrorKind::PlatformUnavailable && !lost) {
+    if (kind == ErrorKind::PlatformUnavailable && !answerLost) {
       return answer.error();
     }
     if (kind == ErrorKind::Conflict) {
-      // An earlier try whose answer was lost, here or inside a client
-      // library, moves the head just as another operator does. The change
-      // row was written with the head, so it tells the two apart.
+      // The head row changed: either another push committed, or an earlier
+      // attempt of this one did and its answer was lost, here or inside a
+      // client library. The change row is written together with the head row,
+      // so its presence shows which.
       const auto made = this->revisionOfChange(aRequest.changeId);
       if (made && !made.value()) {
         return answer.error();
       }
       if (made) {
-        return PushOutcome{ *made.value(), lost, false, std::move(aFiles) };
+        return PushOutcome{
+          *made.value(), answerLost, false, std::move(aFiles)
+        };
       }
     } else if (kind != ErrorKind::PlatformUnavailable &&
                kind != ErrorKind::PlatformUnknown) {
       return answer.error();
     }
-    // The same transaction again: it expects the head's old version, so it
-    // cannot take effect twice.
-    lost = true;
+    // Repeat the same transaction. It expects the old version of the head row,
+    // so it cannot take effect twice.
+    answerLost = true;
   }
   return fail(ErrorKind::PlatformUnknown,
               "the push may have taken effect; repeat it with change id " +
@@ -150,7 +156,7 @@
 Result<PushOutcome>
 ConfigStore<Platform>::tryPush(const PushRequest& aRequest)
 {
-  const Result<Head> head = this->readHead();
+  const Result<HeadRow> head = this->readHeadRow();
   if (!head) {
     return head.error();
   }
@@ -174,7 +180,7 @@
   }
   merged.value.revision = current + 1;
   const std::string text = toRevisionText(merged.value);
-  const Result<std::string> update = this->updateFrom(current, text);
+  const Result<std::string> update = this->updateTextFrom(current, text);
   if (!update) {
     return update.error();
   }
@@ -186,13 +192,13 @@
   }
   const auto stamped =
     stampFiles(files.value(), before.value(), aRequest.author, record.revision);
-  const Result<Done> sources = this->put(
+  const Result<Done> sources = this->putWithRetries(
     filesObjectName(record.revision, record.changeId), toText(stamped));
   if (!sources) {
     return sources.error();
   }
-  const Result<Done> whole =
-    this->put(textObjectName(record.revision, record.changeId), text);
+  const Result<Done> whole = this->putWithRetries(
+    textObjectName(record.revision, record.changeId), text);
   if (!whole) {
     return whole.error();
   }
@@ -211,12 +217,12 @@
     return PushOutcome{ *earlier.value(), true, false, aRequest.files };
   }
   Result<PushOutcome> outcome = this->tryPush(aRequest);
-  for (int i = 1; i < kRebaseTries; ++i) {
+  for (int i = 1; i < kMaxPushAttempts; ++i) {
     if (outcome || outcome.error().kind != ErrorKind::Conflict) {
       return outcome;
     }
-    // Another push came between the read and the write. The next try sees
-    // it, and either rebases or says whose it was.
+    // Another push committed between the read and the write. The next attempt
+    // reads it, and either rebases or returns a conflict that names its author.
     outcome = this->tryPush(aRequest);
     if (!aRequest.rebase) {
       return outcome;
@@ -233,7 +239,7 @@
   if (!files) {
     return files.error();
   }
-  const Result<Head> head = this->readHead();
+  const Result<HeadRow> head = this->readHeadRow();
   if (!head) {
     return head.error();
   }
--- a/include/poplartrack/config/RevisionDocument.h
+++ b/include/poplartrack/config/RevisionDocument.h
@@ -10,15 +10,17 @@
 namespace poplartrack {
 
 /**
- * A revision as a process holds it: its canonical text, the text parsed, and
- * the configuration. Kept parsed so that a step checks and rebuilds only the
- * models, services and accounts that it names: at 7,400 accounts reading
- * everything again costs several times as much as all else of a change.
+ * A revision in the memory of a process: its canonical text, the parsed text
+ * and the configuration. With the parsed text at hand, a step checks and
+ * rebuilds only the models, services and accounts that it changes. At 7,400
+ * accounts, reading everything again costs several times as much as the rest of
+ * a change.
  */
 class RevisionDocument
 {
 public:
-  /** The document of a canonical text, checked as fromRevisionText does. */
+  /** Creates the document of a canonical text, with the same checks as
+   * fromRevisionText(). */
   static Result<RevisionDocument> create(std::string aText);
 
   RevisionDocument(RevisionDocument&& aOther) noexcept;
@@ -26,10 +28,11 @@
   ~RevisionDocument();
 
   /**
-   * Goes on to a later revision by steps. Nothing changes on an error:
-   * Conflict, the steps start from another revision; Malformed, they do not
-   * lead to the text with their SHA-256, fetch the revision whole then;
-   * BadSettings, they lead there and the settings do not check.
+   * Applies the steps to a later revision. Nothing changes on an error:
+   * - Conflict: the steps start at another revision.
+   * - Malformed: they cannot be applied, or the result does not have their
+   *   SHA-256. The caller should fetch the whole text.
+   * - BadSettings: the result has their SHA-256, but its settings are invalid.
    */
   Result<Done> apply(const RevisionUpdate& aUpdate);
 
@@ -40,6 +43,7 @@
   }
 
 private:
+  /** The parsed text; hides the JSON library from users of this header. */
   struct Parsed;
 
   RevisionDocument(std::string aText,
--- a/include/poplartrack/config/RevisionLog.h
+++ b/include/poplartrack/config/RevisionLog.h
@@ -10,29 +10,32 @@
 namespace poplartrack {
 
 /**
- * The latest updates of a process, from which it brings up peers that are a
- * little behind without sending the whole text. Bounded in bytes.
+ * Keeps the latest updates that a process applied, so that it can send a peer
+ * that is a few revisions behind the steps instead of the whole text. Bounded
+ * in bytes.
  */
 class RevisionLog
 {
 public:
-  /** Bytes of update text kept: some 500 changes of the usual size. */
+  /** Most bytes of update text kept: some 500 changes of the usual size. */
   static constexpr std::size_t kMaxBytes = std::size_t{ 256 } << 10U;
 
-  /** Adds the update that led to the revision now in force. A gap, or a
-   * whole update, empties the log first. */
+  /** Adds the update that put the current revision in force. An update that
+   * does not start at the last one's revision empties the log first; a whole
+   * update only empties it. */
   void add(const RevisionUpdate& aUpdate);
 
-  /** The steps from that revision to the newest; nothing when the log does
-   * not reach back so far. */
+  /** Returns the steps from a revision to the newest; nothing when the log does
+   * not have all of them. */
   [[nodiscard]] std::optional<RevisionUpdate> since(
     std::uint64_t aRevision) const;
 
-  [[nodiscard]] std::size_t bytes() const { return this->held; }
+  /** Returns the bytes of update text kept. */
+  [[nodiscard]] std::size_t bytes() const { return this->keptBytes; }
 
 private:
   std::deque<RevisionUpdate> updates;
-  std::size_t held = 0;
+  std::size_t keptBytes = 0;
 };
 
 } // namespace poplartrack
--- a/include/poplartrack/config/RevisionRecord.h
+++ b/include/poplartrack/config/RevisionRecord.h
@@ -10,15 +10,16 @@
 
 namespace poplartrack {
 
-/** The head row: which revision was accepted last. */
+/** Value of the head row: the revision accepted last. Rows of the changes table
+ * have the same form. */
 struct ConfigHead
 {
   std::uint64_t revision = 0;
-  /** The change id of the push that made it. */
+  /** Id of the push that made the revision. */
   std::string changeId;
 };
 
-/** A row of the history: one accepted push. */
+/** Value of a history row: one accepted push. */
 struct RevisionRecord
 {
   std::uint64_t revision = 0;
@@ -27,49 +28,57 @@
   /** Unix time of the push by the operator's clock; for people only. */
   std::int64_t atSeconds = 0;
   std::string note;
-  /** Names of the files that it added, changed or removed. */
+  /** Names of the files that the push added, changed or removed. */
   std::vector<std::string> files;
-  /** Text of the update from the revision before; empty when too large. */
+  /** Text of the update from the previous revision. Empty for the first
+   * revision, and when the text is longer than kMaxRowUpdateBytes. */
   std::string update;
 };
 
-/** A file of a revision and who changed it last. */
+/** A source file of a revision, with its last change. */
 struct StoredFile
 {
   SettingsFile file;
+  /** Author of the last change. */
   std::string changedBy;
+  /** The revision of the last change. */
   std::uint64_t changedIn = 0;
 
   friend bool operator==(const StoredFile&, const StoredFile&) = default;
 };
 
+/** Returns the value of a head row or change row. */
 std::string
 toText(const ConfigHead& aHead);
+/** Returns the value of a history row. */
 std::string
 toText(const RevisionRecord& aRecord);
+/** Returns the bytes of an object with source files. */
 std::string
 toText(const std::vector<StoredFile>& aFiles);
 
-/** The head of a row's value; BadSettings when it is none. */
+/** Reads the value of a head row or change row; BadSettings when it is
+ * malformed. */
 Result<ConfigHead>
 configHeadFromText(std::string_view aText);
-/** The record of a row's value; BadSettings when it is none. */
+/** Reads the value of a history row; BadSettings when it is malformed. */
 Result<RevisionRecord>
 revisionRecordFromText(std::string_view aText);
-/** The files of an object; BadSettings when it holds none. */
+/** Reads an object of source files; BadSettings when it is malformed. */
 Result<std::vector<StoredFile>>
 storedFilesFromText(std::string_view aText);
 
-/** The key of a revision's row; keys sort as revisions do. */
+/** Returns the key of a revision's history row. Keys sort in the order of the
+ * revisions. */
 std::string
 revisionKey(std::uint64_t aRevision);
 
-/** Name of the object with a revision's canonical text. */
+/** Returns the name of the object with a revision's canonical text. */
 std::string
-textObjectName(std::uint64_t aRevision, const std::string& aChange);
+textObjectName(std::uint64_t aRevision, const std::string& aChangeId);
 
-/** Name of the object with a revision's source files. */
+/** Returns the name of the object with a revision's source files. */
 std::string
-filesObjectName(std::uint64_t aRevision, const std::string& aChange);
+filesObjectName(std::uint64_t aRevision, const std::string& aChangeId);
 
 } // namespace poplartrack
--- a/include/poplartrack/config/RevisionText.h
+++ b/include/poplartrack/config/RevisionText.h
@@ -9,16 +9,16 @@
 namespace poplartrack {
 
 /**
- * The canonical text of a merged configuration: JSON in the shape of the
- * operators' folder, every key given, keys sorted. Equal configurations have
- * equal texts, and the text reads back exactly.
+ * Returns the canonical text of a merged configuration: JSON with the structure
+ * of the operators' folder, every key present and sorted. Equal configurations
+ * have equal texts, and fromRevisionText() restores the same configuration.
  */
 std::string
 toRevisionText(const Configuration& aConfiguration);
 
 /**
- * The configuration of a canonical text, checked as strictly as the folder.
- * BadSettings names the first mistake; a text that fails is never applied.
+ * Reads a canonical text and checks it as strictly as the folder. BadSettings
+ * names the first problem; a text that fails must not be applied.
  */
 Result<Configuration>
 fromRevisionText(std::string_view aText);
--- a/src/config/ConfigKeeper.cpp
+++ b/src/config/ConfigKeeper.cpp
@@ -38,7 +38,8 @@
     return;
   }
   if (this->isStarting() && this->peersToAsk.empty() && !this->inFlight) {
-    // The last round of the start is over; begin one with this peer at once.
+    // No read is pending. Begin a round of the start at once; it asks this
+    // peer.
     this->nextPeerFetchAt = std::min(this->nextPeerFetchAt, aNow);
   }
   this->forgetPeer(*aPeer);
--- a/src/config/ConfigurationTree.cpp
+++ b/src/config/ConfigurationTree.cpp
@@ -5,8 +5,9 @@
 namespace poplartrack {
 namespace {
 
-/** What the endpoints of models say in place of a service's name. */
-constexpr std::string_view kEngineService = "engine";
+/** The endpoints of models report this name as their service, so no service may
+ * have it. */
+constexpr std::string_view kReservedServiceName = "engine";
 
 ModelSpec
 modelFrom(const SettingsNode& aNode)
@@ -52,76 +53,79 @@
   return account;
 }
 
-/** One walk that adds the problems between keys. */
-class TogetherCheck
+/** Adds the problems that checkConsistency() finds. aFiles are the names of the
+ * files to which the nodes of the tree refer. */
+class ConsistencyCheck
 {
 public:
-  TogetherCheck(const std::vector<std::string>& aFiles,
-                std::vector<SettingsProblem>& aProblems)
+  ConsistencyCheck(const std::vector<std::string>& aFiles,
+                   std::vector<SettingsProblem>& aProblems)
     : files(aFiles)
     , problems(aProblems)
   {
   }
 
-  void model(const std::string& aName, const SettingsNode& aNode)
+  void checkModel(const std::string& aName, const SettingsNode& aNode)
   {
     const SettingsNode* version = aNode.find("version");
     if (version == nullptr) {
       return;
     }
-    const auto* word = std::get_if<std::string>(&version->value);
-    if (word == nullptr) {
+    const auto* versionName = std::get_if<std::string>(&version->value);
+    if (versionName == nullptr) {
       return;
     }
     std::vector<std::string> declared;
     eachNamed(aNode, "versions", [&](const auto& aVersion, const auto&) {
       declared.push_back(aVersion);
     });
-    std::string list;
-    for (const std::string& one : declared) {
-      if (one == *word) {
+    std::string declaredList;
+    for (const std::string& name : declared) {
+      if (name == *versionName) {
         return;
       }
-      list += (list.empty() ? "" : ", ") + one;
+      declaredList += (declaredList.empty() ? "" : ", ") + name;
     }
-    this->report(*version,
-                 "models." + aName + ".version",
-                 "version \"" + *word + "\" is not declared; " +
-                   (list.empty()
-                      ? "add [models." + aName + ".versions." + *word + "]"
-                      : "declared: " + list));
+    this->addProblem(
+      *version,
+      "models." + aName + ".version",
+      "version \"" + *versionName + "\" is not declared; " +
+        (declaredList.empty()
+           ? "add [models." + aName + ".versions." + *versionName + "]"
+           : "declared: " + declaredList));
   }
 
-  void service(const std::string& aName, const SettingsNode& aNode)
+  void checkService(const std::string& aName, const SettingsNode& aNode)
   {
-    if (aName == kEngineService) {
-      this->report(aNode,
-                   "services." + aName,
-                   "the name is reserved for the endpoints of models; use "
-                   "another");
+    if (aName == kReservedServiceName) {
+      this->addProblem(aNode,
+                       "services." + aName,
+                       "the name is reserved for the endpoints of models; use "
+                       "another");
     }
   }
 
-  void limits(const SettingsNode& aRoot)
+  void checkLimits(const SettingsNode& aRoot)
   {
     const SettingsNode* limits = aRoot.find("limits");
     if (limits == nullptr) {
       return;
     }
     RequestLimits read;
-    this->milliseconds(*limits, "default_deadline_ms", read.defaultDeadline);
-    this->milliseconds(*limits, "max_deadline_ms", read.maxDeadline);
+    this->readMilliseconds(
+      *limits, "default_deadline_ms", read.defaultDeadline);
+    this->readMilliseconds(*limits, "max_deadline_ms", read.maxDeadline);
     if (read.defaultDeadline <= read.maxDeadline) {
       return;
     }
     const SettingsNode* given = limits->find("default_deadline_ms");
-    this->report(given != nullptr ? *given : *limits,
-                 "limits.default_deadline_ms",
-                 "is above limits.max_deadline_ms; write at most " +
-                   std::to_string(read.maxDeadline.count() / 1000));
+    this->addProblem(given != nullptr ? *given : *limits,
+                     "limits.default_deadline_ms",
+                     "is above limits.max_deadline_ms; write at most " +
+                       std::to_string(read.maxDeadline.count() / 1000));
   }
 
-  void floorShares(const SettingsNode& aRoot)
+  void checkFloorShares(const SettingsNode& aRoot)
   {
     double sum = 0;
     const SettingsNode* last = nullptr;
@@ -132,7 +136,7 @@
            std::holds_alternative<std::int64_t>(share->value))) {
         double value = 0;
         bind(aPriority, "floor_share", value);
-        // An impossible share is named by itself.
+        // checkSettings() reports a share outside [0, 1].
         if (value >= 0 && value <= 1) {
           sum += value;
           last = share;
@@ -140,29 +144,31 @@
       }
     });
     if (sum > 1 && last != nullptr) {
-      this->report(*last,
-                   "priorities",
-                   "the floor shares add up to more than 1; lower them");
+      this->addProblem(*last,
+                       "priorities",
+                       "the floor shares add up to more than 1; lower them");
     }
   }
 
 private:
-  void milliseconds(const SettingsNode& aTable,
-                    std::string_view aKey,
-                    Duration& aField)
+  /** Reads a duration if the key has a valid value; keeps the default if not.
+   */
+  void readMilliseconds(const SettingsNode& aTable,
+                        std::string_view aKey,
+                        Duration& aField)
   {
     const SettingsNode* node = aTable.find(aKey);
     const auto* number =
       node == nullptr ? nullptr : std::get_if<std::int64_t>(&node->value);
-    // An impossible deadline is named by itself.
+    // checkSettings() reports a deadline that is not positive.
     if (number != nullptr && *number > 0) {
       bind(aTable, aKey, aField);
     }
   }
 
-  void report(const SettingsNode& aNode,
-              const std::string& aPath,
-              std::string aMessage)
+  void addProblem(const SettingsNode& aNode,
+                  const std::string& aPath,
+                  std::string aMessage)
   {
     this->problems.push_back(SettingsProblem{
       this->files[aNode.file], aNode.line, aPath, std::move(aMessage) });
@@ -207,15 +213,15 @@
                  const std::vector<std::string>& aFiles,
                  std::vector<SettingsProblem>& aProblems)
 {
-  TogetherCheck check{ aFiles, aProblems };
+  ConsistencyCheck check{ aFiles, aProblems };
   eachNamed(aRoot, "models", [&](const auto& aName, const auto& aNode) {
-    check.model(aName, aNode);
+    check.checkModel(aName, aNode);
   });
   eachNamed(aRoot, "services", [&](const auto& aName, const auto& aNode) {
-    check.service(aName, aNode);
+    check.checkService(aName, aNode);
   });
-  check.limits(aRoot);
-  check.floorShares(aRoot);
+  check.checkLimits(aRoot);
+  check.checkFloorShares(aRoot);
 }
 
 } // namespace poplartrack
--- a/src/config/ConfigurationTree.h
+++ b/src/config/ConfigurationTree.h
@@ -9,14 +9,15 @@
 
 namespace poplartrack {
 
-/** The configuration of a tree in which checkSettings found nothing. */
+/** Returns the configuration of a tree in which checkSettings() found no
+ * problem. */
 Configuration
 configurationFrom(const SettingsNode& aRoot);
 
 /**
- * What no single key shows: a version in force that is not declared, a
- * default deadline above the longest one, floor shares that add up to more
- * than everything, a service that takes a reserved name.
+ * Adds the problems that involve more than one key: a model whose version is
+ * not declared, a default deadline above the maximum, and floor shares that add
+ * up to more than 1. Also adds a service with a reserved name.
  */
 void
 checkConsistency(const SettingsNode& aRoot,
--- a/src/config/RevisionDocument.cpp
+++ b/src/config/RevisionDocument.cpp
@@ -15,16 +15,17 @@
 
 using Json = nlohmann::json;
 
-/** What a set of steps changes. */
+/** Names of the entries that some steps change. */
 struct TouchedEntries
 {
   std::set<std::string> models;
   std::set<std::string> services;
   std::set<std::string> accounts;
-  /** Something else is changed too: everything is read again. */
+  /** The steps change something else too, so everything is read again. */
   bool everything = false;
 
-  std::set<std::string>* ofKind(std::string_view aKind)
+  /** Returns the names of a kind of entry; null for an unknown kind. */
+  std::set<std::string>* namesOfKind(std::string_view aKind)
   {
     if (aKind == "models") {
       return &this->models;
@@ -35,8 +36,8 @@
     return aKind == "accounts" ? &this->accounts : nullptr;
   }
 
-  /** Notes the path of one JSON Patch operation. */
-  void note(std::string_view aPath)
+  /** Records the path of one JSON Patch operation. */
+  void recordPath(std::string_view aPath)
   {
     constexpr std::string_view kSettings = "/settings/";
     if (aPath == "/revision") {
@@ -48,36 +49,39 @@
     }
     aPath.remove_prefix(kSettings.size());
     const auto slash = aPath.find('/');
-    std::set<std::string>* names = this->ofKind(aPath.substr(0, slash));
+    std::set<std::string>* names = this->namesOfKind(aPath.substr(0, slash));
     if (names == nullptr || slash == std::string_view::npos) {
       this->everything = true;
       return;
     }
     aPath.remove_prefix(slash + 1);
     const std::string_view name = aPath.substr(0, aPath.find('/'));
-    // Names of settings have no '/' or '~', which JSON Pointer escapes.
+    // Names of settings contain no '/' or '~', which JSON Pointer escapes with
+    // '~'. After an escaped name, everything is read again.
     this->everything =
       this->everything || name.find('~') != std::string_view::npos;
     names->emplace(name);
   }
 };
 
+/** Returns the entries that some steps change. */
 TouchedEntries
-touchedBy(const Json& aSteps)
+entriesTouchedBy(const Json& aSteps)
 {
   TouchedEntries touched;
   for (const Json& step : aSteps) {
     for (const Json& operation : step) {
-      touched.note(operation.at("path").get_ref<const std::string&>());
+      touched.recordPath(operation.at("path").get_ref<const std::string&>());
       if (operation.contains("from")) {
-        touched.note(operation.at("from").get_ref<const std::string&>());
+        touched.recordPath(operation.at("from").get_ref<const std::string&>());
       }
     }
   }
   return touched;
 }
 
-/** The touched entries of one kind that are still there. */
+/** Copies the named entries of one kind from aSettings to aPart. Entries that
+ * the steps removed are left out. */
 void
 copyEntries(const Json& aSettings,
             const char* aKind,
@@ -95,7 +99,7 @@
   }
 }
 
-/** Lays the entries of a part over those that were there. */
+/** Replaces the named entries by those of aPart, which lacks removed ones. */
 template<typename Entries>
 void
 replaceEntries(Entries& aEntries,
@@ -108,6 +112,7 @@
   aEntries.merge(aPart);
 }
 
+/** Returns aBefore with the touched entries read again from aSettings. */
 Result<Configuration>
 rebuild(const Configuration& aBefore,
         const Json& aSettings,
@@ -185,12 +190,12 @@
       json.patch_inplace(step);
     }
     text = json.dump();
-    // A step that was made from another text could apply and still give
-    // settings that nobody pushed; the hash of the pushed text rules that
-    // out.
+    // A step that was made from another text may apply without an error, yet
+    // give settings that nobody pushed. The hash of the pushed text detects it.
     if (sha256Hex(text) == update.at("sha256").get_ref<const std::string&>()) {
-      next = rebuild(
-        *this->current, json.at("settings"), touchedBy(update.at("steps")));
+      next = rebuild(*this->current,
+                     json.at("settings"),
+                     entriesTouchedBy(update.at("steps")));
     }
   } catch (const Json::exception& problem) {
     next = fail(ErrorKind::Malformed, problem.what());
--- a/src/config/RevisionJson.h
+++ b/src/config/RevisionJson.h
@@ -8,8 +8,8 @@
 namespace poplartrack {
 
 /**
- * The configuration of the "settings" of a canonical text, or of some of its
- * entries; BadSettings names the first mistake.
+ * Checks and reads the "settings" object of a canonical text, or an object with
+ * some of its entries. BadSettings names the first problem.
  */
 Result<Configuration>
 configurationFromSettings(const nlohmann::json& aSettings);
--- a/src/config/RevisionLog.cpp
+++ b/src/config/RevisionLog.cpp
@@ -11,15 +11,15 @@
     !this->updates.empty() && this->updates.back().to == aUpdate.from;
   if (!follows) {
     this->updates.clear();
-    this->held = 0;
+    this->keptBytes = 0;
   }
   if (aUpdate.from == 0) {
     return;
   }
   this->updates.push_back(aUpdate);
-  this->held += aUpdate.text.size();
-  while (this->held > kMaxBytes) {
-    this->held -= this->updates.front().text.size();
+  this->keptBytes += aUpdate.text.size();
+  while (this->keptBytes > kMaxBytes) {
+    this->keptBytes -= this->updates.front().text.size();
     this->updates.pop_front();
   }
 }
--- a/src/config/RevisionRecord.cpp
+++ b/src/config/RevisionRecord.cpp
@@ -7,9 +7,11 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kRevisionDigits = 20;
+/** Length of a revision's key: the digits of the largest 64-bit number. */
+constexpr std::size_t kRevisionKeyDigits = 20;
 
-/** Reads JSON into a typed value; the library's throw ends here. */
+/** Reads JSON into a typed value; turns exceptions of the JSON library into
+ * BadSettings. aWhat names the kind of text in the error. */
 template<typename T, typename Read>
 Result<T>
 readJson(std::string_view aText, std::string_view aWhat, Read&& aRead)
@@ -100,19 +102,19 @@
 revisionKey(std::uint64_t aRevision)
 {
   const std::string digits = std::to_string(aRevision);
-  return std::string(kRevisionDigits - digits.size(), '0') + digits;
+  return std::string(kRevisionKeyDigits - digits.size(), '0') + digits;
 }
 
 std::string
-textObjectName(std::uint64_t aRevision, const std::string& aChange)
+textObjectName(std::uint64_t aRevision, const std::string& aChangeId)
 {
-  return "config/" + std::to_string(aRevision) + "-" + aChange;
+  return "config/" + std::to_string(aRevision) + "-" + aChangeId;
 }
 
 std::string
-filesObjectName(std::uint64_t aRevision, const std::string& aChange)
+filesObjectName(std::uint64_t aRevision, const std::string& aChangeId)
 {
-  return textObjectName(aRevision, aChange) + ".files";
+  return textObjectName(aRevision, aChangeId) + ".files";
 }
 
 } // namespace poplartrack
--- a/src/config/RevisionText.cpp
+++ b/src/config/RevisionText.cpp
@@ -12,8 +12,9 @@
 
 using Json = nlohmann::json;
 
-/** Settings nest four levels; more is no configuration. */
-constexpr int kMaxDepth = 8;
+/** Deepest level that is read. Settings nest four levels; a deeper text is not
+ * a configuration. */
+constexpr int kMaxNesting = 8;
 
 Json
 toJson(const ModelSpec& aModel)
@@ -54,12 +55,13 @@
 }
 
 std::int64_t
-milliseconds(Duration aDuration)
+toMilliseconds(Duration aDuration)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aDuration)
     .count();
 }
 
+/** Returns all settings as JSON, in the structure of the folder. */
 Json
 settingsJson(const Configuration& aConfiguration)
 {
@@ -80,23 +82,25 @@
   }
   const RequestLimits& limits = aConfiguration.limits;
   settings["limits"] = {
-    { "default_deadline_ms", milliseconds(limits.defaultDeadline) },
-    { "max_deadline_ms", milliseconds(limits.maxDeadline) },
+    { "default_deadline_ms", toMilliseconds(limits.defaultDeadline) },
+    { "max_deadline_ms", toMilliseconds(limits.maxDeadline) },
   };
   return settings;
 }
 
+/** Converts JSON to a settings tree. Values deeper than kMaxNesting, and of
+ * kinds that settings do not have, stay empty. */
 SettingsNode
-treeFrom(const Json& aJson, int aDepth)
+toSettingsNode(const Json& aJson, int aDepth)
 {
   SettingsNode node;
-  if (aDepth > kMaxDepth) {
+  if (aDepth > kMaxNesting) {
     return node;
   }
   if (aJson.is_object()) {
     SettingsTable entries;
     for (const auto& [key, child] : aJson.items()) {
-      entries.emplace(key, treeFrom(child, aDepth + 1));
+      entries.emplace(key, toSettingsNode(child, aDepth + 1));
     }
     node.value = std::move(entries);
   } else if (aJson.is_string()) {
@@ -116,7 +120,7 @@
 Result<Configuration>
 configurationFromSettings(const nlohmann::json& aSettings)
 {
-  const SettingsNode root = treeFrom(aSettings, 0);
+  const SettingsNode root = toSettingsNode(aSettings, 0);
   const std::vector<std::string> files{ "revision" };
   std::vector<SettingsProblem> problems;
   checkSettings(root, folderSettings(), files, TreeExtent::Whole, problems);
--- a/src/config/RevisionUpdate.cpp
+++ b/src/config/RevisionUpdate.cpp
@@ -9,14 +9,16 @@
 
 using Json = nlohmann::json;
 
+/** Parses JSON without exceptions; gives a discarded value on an error. */
 Json
 parseJson(std::string_view aText)
 {
   return Json::parse(aText, nullptr, false);
 }
 
+/** Returns the unsigned number under a key; 0 when there is none. */
 std::uint64_t
-numberOf(const Json& aJson, const char* aKey)
+unsignedAt(const Json& aJson, const char* aKey)
 {
   const auto entry = aJson.find(aKey);
   return entry != aJson.end() && entry->is_number_unsigned()
@@ -24,20 +26,22 @@
            : 0;
 }
 
+/** Returns true for the JSON of a canonical text. */
 bool
 isWhole(const Json& aJson)
 {
   return aJson.is_object() && aJson.contains("settings") &&
-         numberOf(aJson, "revision") > 0;
+         unsignedAt(aJson, "revision") > 0;
 }
 
+/** Returns true for the JSON of an update by steps. */
 bool
 isSteps(const Json& aJson)
 {
   return aJson.is_object() && aJson.contains("steps") &&
          aJson["steps"].is_array() && aJson.contains("sha256") &&
-         aJson["sha256"].is_string() && numberOf(aJson, "from") > 0 &&
-         numberOf(aJson, "to") > numberOf(aJson, "from");
+         aJson["sha256"].is_string() && unsignedAt(aJson, "from") > 0 &&
+         unsignedAt(aJson, "to") > unsignedAt(aJson, "from");
 }
 
 RevisionUpdate
@@ -63,8 +67,8 @@
   if (!isWhole(before) || !isWhole(after)) {
     return fail(ErrorKind::BadSettings, "the text is no revision");
   }
-  return stepsUpdate(numberOf(before, "revision"),
-                     numberOf(after, "revision"),
+  return stepsUpdate(unsignedAt(before, "revision"),
+                     unsignedAt(after, "revision"),
                      Json::array({ Json::diff(before, after) }),
                      sha256Hex(aNewText));
 }
@@ -98,12 +102,12 @@
   const Json update = parseJson(aText);
   if (isWhole(update)) {
     return RevisionUpdate{ 0,
-                           numberOf(update, "revision"),
+                           unsignedAt(update, "revision"),
                            std::string{ aText } };
   }
   if (isSteps(update)) {
-    return RevisionUpdate{ numberOf(update, "from"),
-                           numberOf(update, "to"),
+    return RevisionUpdate{ unsignedAt(update, "from"),
+                           unsignedAt(update, "to"),
                            std::string{ aText } };
   }
   return fail(ErrorKind::BadSettings, "the text is no update");
--- a/src/config/SecretHash.cpp
+++ b/src/config/SecretHash.cpp
@@ -14,12 +14,12 @@
   unsigned int size = 0;
   EVP_Digest(
     aText.data(), aText.size(), digest.data(), &size, EVP_sha256(), nullptr);
-  constexpr std::string_view kDigits = "0123456789abcdef";
-  constexpr unsigned int kLowBits = 0xF;
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
+  constexpr unsigned int kLowNibbleMask = 0xF;
   std::string hex;
   for (unsigned int i = 0; i < size; ++i) {
-    hex += kDigits[digest[i] >> 4U];
-    hex += kDigits[digest[i] & kLowBits];
+    hex += kHexDigits[digest[i] >> 4U];
+    hex += kHexDigits[digest[i] & kLowNibbleMask];
   }
   return hex;
 }
