--- a/src/config/ConfigurationTree.cpp
+++ b/src/config/ConfigurationTree.cpp
@@ -18,7 +18,7 @@
   bind(aNode, "max_prompt_tokens", model.maxPromptTokens);
   bind(aNode, "max_answer_tokens", model.maxAnswerTokens);
   bind(aNode, "weight", model.weight);
-  eachNamed(aNode, "versions", [&](const auto& aName, const auto& aVersion) {
+  forEachEntry(aNode, "versions", [&](const auto& aName, const auto& aVersion) {
     bind(aVersion, "weights", model.versions[aName].weights);
   });
   return model;
@@ -29,7 +29,7 @@
 {
   ServiceSpec service;
   bind(aNode, "weight", service.weight);
-  eachNamed(
+  forEachEntry(
     aNode, "operations", [&](const auto& aName, const auto& aOperation) {
       bind(aOperation, "idempotent", service.operations[aName].idempotent);
     });
@@ -74,7 +74,7 @@
       return;
     }
     std::vector<std::string> declared;
-    eachNamed(aNode, "versions", [&](const auto& aVersion, const auto&) {
+    forEachEntry(aNode, "versions", [&](const auto& aVersion, const auto&) {
       declared.push_back(aVersion);
     });
     std::string list;
@@ -125,7 +125,7 @@
   {
     double sum = 0;
     const SettingsNode* last = nullptr;
-    eachNamed(aRoot, "priorities", [&](const auto&, const auto& aPriority) {
+    forEachEntry(aRoot, "priorities", [&](const auto&, const auto& aPriority) {
       const SettingsNode* share = aPriority.find("floor_share");
       if (share != nullptr &&
           (std::holds_alternative<double>(share->value) ||
@@ -178,16 +178,16 @@
 configurationFrom(const SettingsNode& aRoot)
 {
   Configuration configuration;
-  eachNamed(aRoot, "models", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "models", [&](const auto& aName, const auto& aNode) {
     configuration.models[aName] = modelFrom(aNode);
   });
-  eachNamed(aRoot, "services", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "services", [&](const auto& aName, const auto& aNode) {
     configuration.services[aName] = serviceFrom(aNode);
   });
-  eachNamed(aRoot, "accounts", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "accounts", [&](const auto& aName, const auto& aNode) {
     configuration.accounts[aName] = accountFrom(aNode);
   });
-  eachNamed(aRoot, "priorities", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "priorities", [&](const auto& aName, const auto& aNode) {
     if (const auto priority = priorityFromName(aName)) {
       bind(aNode,
            "floor_share",
@@ -208,10 +208,10 @@
               std::vector<SettingsProblem>& aProblems)
 {
   TogetherCheck check{ aFiles, aProblems };
-  eachNamed(aRoot, "models", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "models", [&](const auto& aName, const auto& aNode) {
     check.model(aName, aNode);
   });
-  eachNamed(aRoot, "services", [&](const auto& aName, const auto& aNode) {
+  forEachEntry(aRoot, "services", [&](const auto& aName, const auto& aNode) {
     check.service(aName, aNode);
   });
   check.limits(aRoot);
--- a/src/config/SettingsBinding.h
+++ b/src/config/SettingsBinding.h
@@ -133,7 +133,7 @@
 /** Calls aVisit(name, node) for each entry of a table of names. */
 template<typename Visit>
 void
-eachNamed(const SettingsNode& aTable, std::string_view aKey, Visit&& aVisit)
+forEachEntry(const SettingsNode& aTable, std::string_view aKey, Visit&& aVisit)
 {
   const SettingsNode* node = aTable.find(aKey);
   if (node == nullptr || node->table() == nullptr) {
