--- a/include/poplartrack/config/Configuration.h
+++ b/include/poplartrack/config/Configuration.h
@@ -17,73 +17,79 @@
   std::string weights;
 };
 
-/** One declared model. */
+/** Settings of one model. */
 struct ModelSpec
 {
   std::uint32_t layers = 0;
-  /** The version in force for new requests. */
+  /** Key into `versions`: the version that new requests use. */
   std::string version;
   std::map<std::string, VersionSpec> versions;
+  /** Longest accepted prompt. */
   std::uint32_t maxPromptTokens = 4096;
+  /** Longest answer that a request may ask for. */
   std::uint32_t maxAnswerTokens = 1024;
-  /** Whole copies of the layers that placement keeps at least. */
+  /** Minimum number of complete copies of the layers that placement keeps. */
   std::uint32_t minCopies = 1;
-  /** Relative worth of one answered request, for weighted goodput. */
+  /** Weight of one answered request in the weighted goodput. */
   double weight = 1.0;
 };
 
 /** One operation of a plain service. */
 struct OperationSpec
 {
-  /** False: a call that may run at most once. */
+  /** False: a call is executed at most once. */
   bool idempotent = true;
 };
 
-/** One declared plain service. */
+/** Settings of one plain service, an endpoint that is not a model. */
 struct ServiceSpec
 {
   std::map<std::string, OperationSpec> operations;
+  /** Weight of one answered request in the weighted goodput. */
   double weight = 1.0;
 };
 
-/** One client account. */
+/** Credentials, limits and priority of one client account. */
 struct AccountSpec
 {
   /** SHA-256 of the account's secret, 64 lower-case hex digits. */
   std::string secretSha256;
   double requestsPerSecond = 10;
-  /** Prompt and answer tokens together. */
+  /** Rate limit over prompt and answer tokens together. */
   double tokensPerSecond = 10'000;
-  /** Seconds of unused limit that may be saved up. */
+  /** Burst size: how many seconds of unused limit accumulate. */
   double burstSeconds = 2;
-  /** Share against other accounts when there is not enough for all. */
+  /** Share relative to other accounts under overload. */
   double weight = 1;
-  /** The most urgent priority that the account may ask for. */
+  /** The highest priority that the account may request. */
   Priority highestPriority = Priority::Normal;
 };
 
-/** How one priority fares when there is not enough for all. */
+/** How one priority is treated under overload. */
 struct PrioritySpec
 {
-  /** Part of the capacity that lower priorities cannot be pushed below. */
+  /** Minimum share of the capacity (0 to 1) reserved for this priority. */
   double floorShare = 0;
 };
 
-/** Bounds that hold for every request. */
+/** Deadlines that apply to every request. */
 struct RequestLimits
 {
+  /** Deadline of a request that gives none. */
   Duration defaultDeadline = std::chrono::seconds{ 30 };
+  /** Longest deadline that a request may give. */
   Duration maxDeadline = std::chrono::seconds{ 120 };
 };
 
-/** One revision of the operators' folder, merged and checked. */
+/** One revision of the operators' settings folder, merged and validated. */
 struct Configuration
 {
-  /** 0 means: none yet. */
+  /** 0 when no revision has been loaded yet. */
   std::uint64_t revision = 0;
   std::map<std::string, ModelSpec> models;
   std::map<std::string, ServiceSpec> services;
   std::map<std::string, AccountSpec> accounts;
+  /** Indexed by Priority. */
   std::array<PrioritySpec, kPriorityCount> priorities{};
   RequestLimits limits;
 };
--- a/include/poplartrack/config/Folder.h
+++ b/include/poplartrack/config/Folder.h
@@ -9,31 +9,31 @@
 
 namespace poplartrack {
 
-/** One file of the operators' folder. */
+/** One file of the operators' settings folder. */
 struct SettingsFile
 {
-  /** Without the folder: "20-accounts.toml". */
+  /** File name without the directory, for example "20-accounts.toml". */
   std::string name;
   std::string text;
 
   friend bool operator==(const SettingsFile&, const SettingsFile&) = default;
 };
 
-/** Most files that a folder may have. */
+/** Maximum number of settings files in a folder. */
 constexpr std::size_t kMaxSettingsFiles = 1000;
 
 /**
- * Reads the *.toml files of a folder, in the order of their names. Hidden
- * files and sub-folders are left out. BadSettings when the folder cannot be
- * read or holds no such file.
+ * Reads the *.toml files of a folder, sorted by name. Skips hidden files and
+ * subfolders. Returns BadSettings if the folder or a file cannot be read, or
+ * if the folder holds no such file or more than kMaxSettingsFiles.
  */
 Result<std::vector<SettingsFile>>
 readFolder(const std::string& aPath);
 
 /**
- * Merges the files in the order of their names, late over early, and checks
- * the whole. Problems are sorted by file and line; with any, no part of the
- * configuration may be used.
+ * Merges the files in the order of their names, later files overriding
+ * earlier ones, and validates each file and the result. Problems are sorted by
+ * file and line. If there is any, the configuration must not be used at all.
  */
 Checked<Configuration>
 mergeFolder(std::vector<SettingsFile> aFiles);
--- a/include/poplartrack/config/NearestName.h
+++ b/include/poplartrack/config/NearestName.h
@@ -7,8 +7,9 @@
 namespace poplartrack {
 
 /**
- * The known name that a mistyped one most likely means, or an empty string
- * when none is near: at most a third of its letters may differ.
+ * Returns the known name closest to a mistyped one, or an empty string if none
+ * is close enough: the Levenshtein distance may be at most a third of the
+ * mistyped name's length, or 1 for shorter names.
  */
 std::string
 nearestName(std::string_view aName, const std::vector<std::string>& aKnown);
--- a/include/poplartrack/config/ProcessSettings.h
+++ b/include/poplartrack/config/ProcessSettings.h
@@ -12,17 +12,21 @@
 
 namespace poplartrack {
 
-/** Which long-running role a process has. */
+/** The role of a long-running process. */
 enum class ProcessRole : std::uint8_t
 {
+  /** Accepts requests of callers. */
   Entry,
+  /** Sidecar that runs beside one endpoint. */
   Side,
 };
 
-/** What stands behind a side. */
+/** The kind of endpoint that a side process serves. */
 enum class EndpointKind : std::uint8_t
 {
+  /** A model engine. */
   Engine,
+  /** A plain service. */
   Service,
 };
 
@@ -34,43 +38,56 @@
   EndpointKind kind = EndpointKind::Engine;
 };
 
-/** Numbers that seldom need changing. */
+/** Settings whose defaults seldom need changing. */
 struct TuningSettings
 {
+  /** Time between two probes of an endpoint. */
   Duration probeInterval = std::chrono::milliseconds{ 500 };
+  /** Mean time between two polls of the store for a newer revision. */
   Duration configPoll = std::chrono::milliseconds{ 2000 };
+  /** Time between two reads of the platform's instance list. */
   Duration instancePoll = std::chrono::milliseconds{ 2000 };
-  /** Above the longest deadline, so that a planned stop cuts nobody off. */
+  /**
+   * How long a planned stop waits for requests in progress. The default is
+   * above the default of limits.max_deadline_ms, so that it ends no request.
+   */
   Duration drainTimeout = std::chrono::milliseconds{ 130'000 };
-  /** A stopping entry still takes callers for this long: the balancer needs a
-   * few health checks to notice. */
+  /**
+   * How long a stopping entry still accepts callers: the load balancer needs a
+   * few health checks to notice.
+   */
   Duration drainGrace = std::chrono::seconds{ 5 };
-  /** Whether this entry contends for its region's placement lease. */
+  /** Whether this entry competes for its region's placement lease. */
   bool placement = true;
+  /** Maximum number of concurrent caller connections. */
   std::uint32_t maxCallers = 1024;
 };
 
-/** Settings of one process: where it is and what it talks to. */
+/** Settings of one process: its location and the addresses it uses. */
 struct ProcessSettings
 {
   std::string name;
   std::string zone;
   std::string region;
-  /** Entry: HTTP for callers, health and metrics. */
+  /** Entry only: listens here for HTTP of callers, health and metrics. */
   Address callers;
-  /** Streams between the system's own processes. */
+  /** Listens here for streams from the system's other processes. */
   Address wire;
-  /** Side: HTTP for health and metrics. */
+  /** Side only: listens here for HTTP of health and metrics. */
   Address metrics;
+  /** The platform's service, to connect to. */
   Address platform;
-  /** Wire addresses of entries to ask while the platform is down. */
+  /**
+   * Wire addresses of entries that are asked for the configuration while the
+   * platform is down.
+   */
   std::vector<Address> peerEntries;
   /** Side only. */
   EndpointSettings endpoint;
   TuningSettings tuning;
 };
 
-/** Every process setting of a role. */
+/** Returns the rows of all settings that a process of this role has. */
 std::span<const SettingRow>
 processSettings(ProcessRole aRole);
 
--- a/include/poplartrack/config/SettingRow.h
+++ b/include/poplartrack/config/SettingRow.h
@@ -7,10 +7,11 @@
 
 namespace poplartrack {
 
-/** What a setting's value must be. */
+/** The type and format that a setting's value must have. */
 enum class SettingType : std::uint8_t
 {
   Integer,
+  /** An integer or a float. */
   Number,
   Boolean,
   /** A name: letters, digits, '-', '_' and '.', at most 64. */
@@ -26,35 +27,38 @@
 };
 
 /**
- * One setting: its place, what it may be and what it does. The tables of
- * these rows are what the checks, the docs and the docs' test go by.
+ * Describes one setting: its key, its allowed values and its effect. The
+ * validation of settings files and the tables in docs/OPERATIONS.md both
+ * follow the tables of these rows; a test compares the two.
  */
 struct SettingRow
 {
-  /** Dotted; "*" stands for a name that the operator chooses. */
+  /** Dotted key; "*" stands for a name that the operator chooses. */
   std::string_view path;
   SettingType type = SettingType::Integer;
+  /** Bounds of the value, both inclusive; for Integer and Number. */
   double min = 0;
   double max = 0;
-  /** For Choice: the words, separated by '|'. */
+  /** For Choice: the allowed values, separated by '|'. */
   std::string_view choices;
-  /** TOML of the default; empty when the setting must be given. */
-  std::string_view fallback;
-  std::string_view meaning;
+  /** The default as TOML; empty if the setting is required. */
+  std::string_view defaultValue;
+  /** For people: what the setting does. */
+  std::string_view description;
 
-  [[nodiscard]] bool required() const { return this->fallback.empty(); }
+  [[nodiscard]] bool required() const { return this->defaultValue.empty(); }
 };
 
-/** Every setting of the operators' folder. */
+/** Returns the rows of all settings of the operators' folder. */
 std::span<const SettingRow>
 folderSettings();
 
-/** What would be right: "an integer from 1 to 1000". */
+/** Describes the allowed values, for example "an integer from 1 to 1000". */
 std::string
-wantedText(const SettingRow& aRow);
+expectedValueText(const SettingRow& aRow);
 
-/** The row as a line of the table in docs/OPERATIONS.md. */
+/** Formats the row as a line of a table in docs/OPERATIONS.md. */
 std::string
-toDocLine(const SettingRow& aRow);
+toDocTableRow(const SettingRow& aRow);
 
 } // namespace poplartrack
--- a/include/poplartrack/config/SettingsCheck.h
+++ b/include/poplartrack/config/SettingsCheck.h
@@ -10,20 +10,21 @@
 
 namespace poplartrack {
 
-/** How much of the settings a tree is. */
+/** How much of the settings a tree holds. */
 enum class TreeExtent : std::uint8_t
 {
-  /** One file of several: keys may be missing. */
+  /** A part, such as one of several files: required keys may be missing. */
   Part,
-  /** Everything merged. */
+  /** All settings, merged: required keys must be present. */
   Whole,
 };
 
 /**
- * Checks a tree against the rows of known settings: unknown keys, types,
- * ranges and, for a whole tree, missing keys. Adds every mistake.
+ * Checks a tree against the rows of known settings: unknown keys, wrong
+ * types, values out of range and, for a whole tree, missing keys. Adds every
+ * mistake to aProblems.
  *
- * @param aFiles the names that the nodes' file indices stand for
+ * @param aFiles file names, indexed by SettingsNode::file
  */
 void
 checkSettings(const SettingsNode& aRoot,
--- a/include/poplartrack/config/SettingsNode.h
+++ b/include/poplartrack/config/SettingsNode.h
@@ -14,9 +14,9 @@
 using SettingsArray = std::vector<SettingsNode>;
 
 /**
- * One value of a settings file, with where it was written. Checks work on
- * this tree, so they do not depend on the TOML library. std::monostate stands
- * for a TOML type that no setting has (dates and times).
+ * One value of a settings file with its position. Validation works on a tree
+ * of these nodes, so that it does not depend on the TOML library.
+ * std::monostate stands for a TOML type that no setting has (dates and times).
  */
 struct SettingsNode
 {
@@ -28,28 +28,28 @@
                SettingsArray,
                SettingsTable>
     value;
-  /** Index into the list of file names that goes with the tree. */
+  /** Index into the list of file names that belongs to the tree. */
   std::uint32_t file = 0;
   std::uint32_t line = 0;
 
-  /** The table, or nullptr when this is something else. */
+  /** Returns the table, or nullptr if the value is not a table. */
   [[nodiscard]] const SettingsTable* table() const
   {
     return std::get_if<SettingsTable>(&this->value);
   }
-  /** The entry of that key; nullptr when there is none or no table. */
+  /** Returns the entry of a key; nullptr if there is none or no table. */
   [[nodiscard]] const SettingsNode* find(std::string_view aKey) const;
 };
 
-/** What the value is, in the words of TOML: "integer", "table", ... */
+/** Returns the TOML name of the value's type: "integer", "table", ... */
 std::string_view
 typeNameOf(const SettingsNode& aNode);
 
 /**
- * Lays a late file over an early one: tables merge key by key, everything
- * else of the late file replaces what stood there.
+ * Merges a later file into an earlier one. Tables merge key by key, any other
+ * value of aOverride replaces the value in aBase.
  */
 void
-mergeOver(SettingsNode& aEarly, SettingsNode aLate);
+mergeOver(SettingsNode& aBase, SettingsNode aOverride);
 
 } // namespace poplartrack
--- a/include/poplartrack/config/SettingsProblem.h
+++ b/include/poplartrack/config/SettingsProblem.h
@@ -7,19 +7,19 @@
 
 namespace poplartrack {
 
-/** One mistake in a settings file and what would be right. */
+/** One mistake in a settings file, with a message that says how to fix it. */
 struct SettingsProblem
 {
   std::string file;
-  /** Counted from 1; 0 when the mistake has no line of its own. */
+  /** Counted from 1; 0 if the mistake has no line of its own. */
   std::uint32_t line = 0;
-  /** The dotted key; empty when the file could not be read that far. */
+  /** The dotted key; empty if the file could not be read that far. */
   std::string key;
   std::string message;
 
   friend bool operator==(const SettingsProblem&,
                          const SettingsProblem&) = default;
-  /** By file, line, key, message. */
+  /** Orders by file, line, key and message. */
   friend bool operator<(const SettingsProblem& aLeft,
                         const SettingsProblem& aRight)
   {
@@ -28,19 +28,19 @@
   }
 };
 
-/** "FILE:LINE: KEY: message". */
+/** Formats a problem as "FILE:LINE: KEY: message". */
 std::string
 toText(const SettingsProblem& aProblem);
 
-/** All problems, one a line. */
+/** Formats all problems, one per line. */
 std::string
 toText(const std::vector<SettingsProblem>& aProblems);
 
-/** A value that was read, or every mistake that kept it from being read. */
+/** A value, or all the mistakes that kept it from being read. */
 template<typename T>
 struct Checked
 {
-  /** Meaningful only when ok(). */
+  /** Valid only if ok(). */
   T value{};
   std::vector<SettingsProblem> problems;
 
--- a/include/poplartrack/config/TomlDocument.h
+++ b/include/poplartrack/config/TomlDocument.h
@@ -10,28 +10,31 @@
 
 namespace poplartrack {
 
-/** Largest settings file: 7,400 accounts take about 1.5 MB. */
+/** Maximum size of a settings file; 7,400 accounts take about 1.5 MB. */
 constexpr std::size_t kMaxSettingsFileBytes = std::size_t{ 8 } << 20U;
 
-/** One parsed file. */
+/** One parsed file and its syntax errors. */
 struct TomlDocument
 {
   SettingsNode root;
-  /** Syntax errors and redefinitions, all that could be told apart. */
+  /**
+   * Syntax errors and duplicate keys. The list is cut short where the parser
+   * could not continue after an error.
+   */
   std::vector<SettingsProblem> problems;
   /**
-   * A line that is no TOML was left out. A key that seems to be missing may
-   * stand on it, so checks for missing keys say nothing then.
+   * True if parts of the file were not parsed. A key that seems to be
+   * missing may be in one of them, so missing keys must not be reported then.
    */
   bool incomplete = false;
 };
 
 /**
- * Parses a TOML text. After an error the line is left out and the text is
- * parsed again, so that one wrong line does not hide the other mistakes.
+ * Parses a TOML text. After an error it blanks the line and parses the text
+ * again, so that one wrong line does not hide the other mistakes.
  *
- * @param aFile name for the problems
- * @param aFileIndex what the nodes remember as their file
+ * @param aFile the file name for the problems
+ * @param aFileIndex the value of SettingsNode::file in every node
  */
 TomlDocument
 parseToml(const std::string& aFile,
--- a/src/config/Folder.cpp
+++ b/src/config/Folder.cpp
@@ -19,10 +19,10 @@
 bool
 isSettingsFile(const fs::directory_entry& aEntry)
 {
-  std::error_code problem;
+  std::error_code error;
   return aEntry.path().extension() == ".toml" &&
          !aEntry.path().filename().string().starts_with(".") &&
-         aEntry.is_regular_file(problem);
+         aEntry.is_regular_file(error);
 }
 
 void
@@ -40,10 +40,10 @@
 Result<std::vector<SettingsFile>>
 readFolder(const std::string& aPath)
 {
-  std::error_code problem;
-  fs::directory_iterator entry{ aPath, problem };
+  std::error_code error;
+  fs::directory_iterator entry{ aPath, error };
   std::vector<SettingsFile> files;
-  while (!problem && entry != fs::directory_iterator{}) {
+  while (!error && entry != fs::directory_iterator{}) {
     if (isSettingsFile(*entry)) {
       std::ifstream stream{ entry->path(), std::ios::binary };
       std::ostringstream text;
@@ -55,11 +55,11 @@
       files.push_back(
         SettingsFile{ entry->path().filename().string(), text.str() });
     }
-    entry.increment(problem);
+    entry.increment(error);
   }
-  if (problem) {
+  if (error) {
     return fail(ErrorKind::BadSettings,
-                "cannot read folder " + aPath + ": " + problem.message());
+                "cannot read folder " + aPath + ": " + error.message());
   }
   if (files.empty()) {
     return fail(ErrorKind::BadSettings, "no *.toml file in " + aPath);
@@ -91,8 +91,8 @@
                            document.problems.begin(),
                            document.problems.end());
     incomplete = incomplete || document.incomplete;
-    // Each file by itself as well: a late file would else hide a mistake
-    // until the day that it is taken away.
+    // Also check each file by itself. Otherwise a later file could override a
+    // mistake and hide it until that later file is removed.
     checkSettings(document.root,
                   folderSettings(),
                   names,
--- a/src/config/FolderChange.cpp
+++ b/src/config/FolderChange.cpp
@@ -8,10 +8,11 @@
 namespace poplartrack {
 namespace {
 
+/** The texts of the files of a folder, by file name. */
 using FilesByName = std::map<std::string, std::string>;
 
 FilesByName
-byName(const std::vector<SettingsFile>& aFiles)
+textByName(const std::vector<SettingsFile>& aFiles)
 {
   FilesByName files;
   for (const SettingsFile& file : aFiles) {
@@ -20,15 +21,17 @@
   return files;
 }
 
+/** Returns the text of a file; nullptr if the folder does not have it. */
 const std::string*
-textIn(const FilesByName& aFiles, const std::string& aName)
+findText(const FilesByName& aFiles, const std::string& aName)
 {
   const auto file = aFiles.find(aName);
   return file == aFiles.end() ? nullptr : &file->second;
 }
 
+/** Compares two texts; a missing file (nullptr) equals only a missing one. */
 bool
-same(const std::string* aLeft, const std::string* aRight)
+sameText(const std::string* aLeft, const std::string* aRight)
 {
   if (aLeft == nullptr || aRight == nullptr) {
     return aLeft == aRight;
@@ -36,8 +39,9 @@
   return *aLeft == *aRight;
 }
 
+/** Returns the names of the files of all these folders. */
 std::set<std::string>
-namesOf(const std::vector<FilesByName>& aFolders)
+allNames(const std::vector<FilesByName>& aFolders)
 {
   std::set<std::string> names;
   for (const FilesByName& folder : aFolders) {
@@ -49,7 +53,7 @@
 }
 
 std::vector<std::string>
-linesOf(const std::string& aText)
+splitLines(const std::string& aText)
 {
   std::vector<std::string> lines;
   std::size_t start = 0;
@@ -61,8 +65,10 @@
   return lines;
 }
 
+/** Describes the last change of a file, for the message of a conflict. */
 std::string
-authorOf(const std::vector<StoredFile>& aFiles, const std::string& aName)
+describeLastChange(const std::vector<StoredFile>& aFiles,
+                   const std::string& aName)
 {
   for (const StoredFile& stored : aFiles) {
     if (stored.file.name == aName) {
@@ -88,19 +94,20 @@
 differences(const std::vector<SettingsFile>& aOld,
             const std::vector<SettingsFile>& aNew)
 {
-  const FilesByName before = byName(aOld);
-  const FilesByName after = byName(aNew);
+  const FilesByName before = textByName(aOld);
+  const FilesByName after = textByName(aNew);
   std::vector<FileDifference> found;
-  for (const std::string& name : namesOf({ before, after })) {
-    const std::string* was = textIn(before, name);
-    const std::string* is = textIn(after, name);
-    if (same(was, is)) {
+  for (const std::string& name : allNames({ before, after })) {
+    const std::string* oldText = findText(before, name);
+    const std::string* newText = findText(after, name);
+    if (sameText(oldText, newText)) {
       continue;
     }
     found.push_back(FileDifference{ name,
-                                    was == nullptr  ? FileChange::Added
-                                    : is == nullptr ? FileChange::Removed
-                                                    : FileChange::Changed });
+                                    oldText == nullptr ? FileChange::Added
+                                    : newText == nullptr
+                                      ? FileChange::Removed
+                                      : FileChange::Changed });
   }
   return found;
 }
@@ -108,28 +115,30 @@
 std::string
 lineDifferences(const std::string& aOld, const std::string& aNew)
 {
-  const std::vector<std::string> before = linesOf(aOld);
-  const std::vector<std::string> after = linesOf(aNew);
-  // What is equal at both ends is left out; files are small and edits are
-  // local, so the middle is what a person wants to see.
-  std::size_t head = 0;
-  while (head < before.size() && head < after.size() &&
-         before[head] == after[head]) {
-    ++head;
+  const std::vector<std::string> before = splitLines(aOld);
+  const std::vector<std::string> after = splitLines(aNew);
+  // Omits the lines that are equal at both ends. Files are small and edits are
+  // local, so the part between is short enough to read.
+  std::size_t commonHead = 0;
+  while (commonHead < before.size() && commonHead < after.size() &&
+         before[commonHead] == after[commonHead]) {
+    ++commonHead;
   }
-  std::size_t tail = 0;
-  while (tail < before.size() - head && tail < after.size() - head &&
-         before[before.size() - 1 - tail] == after[after.size() - 1 - tail]) {
-    ++tail;
+  std::size_t commonTail = 0;
+  while (commonTail < before.size() - commonHead &&
+         commonTail < after.size() - commonHead &&
+         before[before.size() - 1 - commonTail] ==
+           after[after.size() - 1 - commonTail]) {
+    ++commonTail;
   }
-  std::string text;
-  for (std::size_t i = head; i < before.size() - tail; ++i) {
-    text += "-" + std::to_string(i + 1) + ": " + before[i] + "\n";
+  std::string diff;
+  for (std::size_t i = commonHead; i < before.size() - commonTail; ++i) {
+    diff += "-" + std::to_string(i + 1) + ": " + before[i] + "\n";
   }
-  for (std::size_t i = head; i < after.size() - tail; ++i) {
-    text += "+" + std::to_string(i + 1) + ": " + after[i] + "\n";
+  for (std::size_t i = commonHead; i < after.size() - commonTail; ++i) {
+    diff += "+" + std::to_string(i + 1) + ": " + after[i] + "\n";
   }
-  return text;
+  return diff;
 }
 
 std::vector<SettingsFile>
@@ -149,16 +158,16 @@
            const std::string& aAuthor,
            std::uint64_t aRevision)
 {
-  std::vector<StoredFile> stamped;
+  std::vector<StoredFile> recorded;
   for (const SettingsFile& file : aFiles) {
     const auto kept = std::find_if(
       aBefore.begin(), aBefore.end(), [&](const StoredFile& aStored) {
         return aStored.file == file;
       });
-    stamped.push_back(
+    recorded.push_back(
       kept != aBefore.end() ? *kept : StoredFile{ file, aAuthor, aRevision });
   }
-  return stamped;
+  return recorded;
 }
 
 Result<std::vector<SettingsFile>>
@@ -166,21 +175,22 @@
             const std::vector<StoredFile>& aTheirs,
             const std::vector<SettingsFile>& aMine)
 {
-  const FilesByName base = byName(aBase);
-  const FilesByName theirs = byName(plainFiles(aTheirs));
-  const FilesByName mine = byName(aMine);
+  const FilesByName base = textByName(aBase);
+  const FilesByName theirs = textByName(plainFiles(aTheirs));
+  const FilesByName mine = textByName(aMine);
   std::vector<SettingsFile> files;
   std::string conflicts;
-  for (const std::string& name : namesOf({ base, theirs, mine })) {
-    const std::string* original = textIn(base, name);
-    const std::string* other = textIn(theirs, name);
-    const std::string* own = textIn(mine, name);
-    if (!same(original, other) && !same(original, own) && !same(other, own)) {
+  for (const std::string& name : allNames({ base, theirs, mine })) {
+    const std::string* baseText = findText(base, name);
+    const std::string* theirText = findText(theirs, name);
+    const std::string* myText = findText(mine, name);
+    if (!sameText(baseText, theirText) && !sameText(baseText, myText) &&
+        !sameText(theirText, myText)) {
       conflicts += (conflicts.empty() ? "" : "; ") + name + " (" +
-                   authorOf(aTheirs, name) + ")";
+                   describeLastChange(aTheirs, name) + ")";
       continue;
     }
-    const std::string* chosen = same(original, own) ? other : own;
+    const std::string* chosen = sameText(baseText, myText) ? theirText : myText;
     if (chosen != nullptr) {
       files.push_back(SettingsFile{ name, *chosen });
     }
--- a/src/config/NearestName.cpp
+++ b/src/config/NearestName.cpp
@@ -6,12 +6,12 @@
 namespace poplartrack {
 namespace {
 
-/** Bounds the work on absurdly long names. */
-constexpr std::size_t kMaxLength = 64;
+/** In bytes. Longer names get no suggestion, which bounds the work. */
+constexpr std::size_t kMaxNameLength = 64;
 
-/** Levenshtein's distance. */
+/** Returns the Levenshtein distance of two strings. */
 std::size_t
-distance(std::string_view aLeft, std::string_view aRight)
+levenshteinDistance(std::string_view aLeft, std::string_view aRight)
 {
   std::vector<std::size_t> row(aRight.size() + 1);
   std::iota(row.begin(), row.end(), 0);
@@ -32,15 +32,15 @@
 std::string
 nearestName(std::string_view aName, const std::vector<std::string>& aKnown)
 {
-  if (aName.size() > kMaxLength) {
+  if (aName.size() > kMaxNameLength) {
     return {};
   }
   std::string nearest;
-  std::size_t best = std::max<std::size_t>(aName.size() / 3, 1) + 1;
+  std::size_t bestDistance = std::max<std::size_t>(aName.size() / 3, 1) + 1;
   for (const std::string& known : aKnown) {
-    const std::size_t steps = distance(aName, known);
-    if (steps < best) {
-      best = steps;
+    const std::size_t distance = levenshteinDistance(aName, known);
+    if (distance < bestDistance) {
+      bestDistance = distance;
       nearest = known;
     }
   }
--- a/src/config/ProcessSettings.cpp
+++ b/src/config/ProcessSettings.cpp
@@ -9,46 +9,48 @@
 
 using enum SettingType;
 
-constexpr std::string_view kAnyPort = "\"127.0.0.1:0\"";
+/** TOML default of the listening addresses: any free port. */
+constexpr std::string_view kAnyLoopbackPort = "\"127.0.0.1:0\"";
 
-constexpr SettingRow kName{
+constexpr SettingRow kProcessName{
   "process.name", Name, 0, 0, "", "", "the process, unique in the system"
 };
-constexpr SettingRow kZone{
+constexpr SettingRow kProcessZone{
   "process.zone", Name, 0, 0, "", "", "availability zone of its instance"
 };
-constexpr SettingRow kRegion{ "process.region",        Name, 0, 0, "", "",
-                              "region of its instance" };
-constexpr SettingRow kCallers{ "listen.callers",
-                               SettingType::AddressText,
-                               0,
-                               0,
-                               "",
-                               kAnyPort,
-                               "HTTP for callers, health and metrics" };
-constexpr SettingRow kWire{ "listen.wire",
-                            SettingType::AddressText,
-                            0,
-                            0,
-                            "",
-                            kAnyPort,
-                            "streams from the system's other processes" };
-constexpr SettingRow kMetrics{
+constexpr SettingRow kProcessRegion{
+  "process.region", Name, 0, 0, "", "", "region of its instance"
+};
+constexpr SettingRow kListenCallers{ "listen.callers",
+                                     SettingType::AddressText,
+                                     0,
+                                     0,
+                                     "",
+                                     kAnyLoopbackPort,
+                                     "HTTP for callers, health and metrics" };
+constexpr SettingRow kListenWire{ "listen.wire",
+                                  SettingType::AddressText,
+                                  0,
+                                  0,
+                                  "",
+                                  kAnyLoopbackPort,
+                                  "streams from the system's other processes" };
+constexpr SettingRow kListenMetrics{
   "listen.metrics", SettingType::AddressText,     0, 0, "",
-  kAnyPort,         "HTTP for health and metrics"
+  kAnyLoopbackPort, "HTTP for health and metrics"
 };
-constexpr SettingRow kPlatform{
+constexpr SettingRow kPlatformAddress{
   "platform.address",      SettingType::AddressText, 0, 0, "", "",
   "the platform's service"
 };
-constexpr SettingRow kPeers{ "peers.entries",
-                             AddressList,
-                             0,
-                             0,
-                             "",
-                             "[]",
-                             "wire addresses of entries to ask for the "
-                             "configuration while the platform is down" };
+constexpr SettingRow kPeerEntries{ "peers.entries",
+                                   AddressList,
+                                   0,
+                                   0,
+                                   "",
+                                   "[]",
+                                   "wire addresses of entries to ask for the "
+                                   "configuration while the platform is down" };
 constexpr SettingRow kConfigPoll{
   "tuning.config_poll_ms",
   Integer,
@@ -110,19 +112,19 @@
                                   "connections of callers at once" };
 
 constexpr std::array kEntrySettings{
-  kName,         kZone,       kRegion,     kCallers,       kWire,
-  kPlatform,     kPeers,      kConfigPoll, kProbeInterval, kInstancePoll,
-  kDrainTimeout, kDrainGrace, kPlacement,  kMaxCallers,
+  kProcessName,     kProcessZone, kProcessRegion, kListenCallers, kListenWire,
+  kPlatformAddress, kPeerEntries, kConfigPoll,    kProbeInterval, kInstancePoll,
+  kDrainTimeout,    kDrainGrace,  kPlacement,     kMaxCallers,
 };
 
 constexpr std::array kSideSettings{
-  kName,
-  kZone,
-  kRegion,
-  kWire,
-  kMetrics,
-  kPlatform,
-  kPeers,
+  kProcessName,
+  kProcessZone,
+  kProcessRegion,
+  kListenWire,
+  kListenMetrics,
+  kPlatformAddress,
+  kPeerEntries,
   kDrainTimeout,
   SettingRow{ "endpoint.name",
               Name,
@@ -183,9 +185,9 @@
   bind(process, "zone", settings.zone);
   bind(process, "region", settings.region);
   const SettingsNode& listen = tableOf(aRoot, "listen");
-  for (Address* any :
+  for (Address* address :
        { &settings.callers, &settings.wire, &settings.metrics }) {
-    *any = Address{ "127.0.0.1", 0 };
+    *address = Address{ "127.0.0.1", 0 };
   }
   bind(listen, "callers", settings.callers);
   bind(listen, "wire", settings.wire);
--- a/src/config/SettingRow.cpp
+++ b/src/config/SettingRow.cpp
@@ -188,7 +188,7 @@
 }
 
 std::string
-wantedText(const SettingRow& aRow)
+expectedValueText(const SettingRow& aRow)
 {
   switch (aRow.type) {
     case Integer:
@@ -212,12 +212,12 @@
 }
 
 std::string
-toDocLine(const SettingRow& aRow)
+toDocTableRow(const SettingRow& aRow)
 {
-  const std::string fallback =
-    aRow.required() ? "required" : "`" + std::string{ aRow.fallback } + "`";
-  return "| `" + std::string{ aRow.path } + "` | " + wantedText(aRow) + " | " +
-         fallback + " | " + std::string{ aRow.meaning } + " |";
+  const std::string defaultText =
+    aRow.required() ? "required" : "`" + std::string{ aRow.defaultValue } + "`";
+  return "| `" + std::string{ aRow.path } + "` | " + expectedValueText(aRow) +
+         " | " + defaultText + " | " + std::string{ aRow.description } + " |";
 }
 
 } // namespace poplartrack
--- a/src/config/SettingValue.cpp
+++ b/src/config/SettingValue.cpp
@@ -66,7 +66,7 @@
 }
 
 bool
-isPossible(const SettingRow& aRow, const SettingsNode& aNode)
+isValidValue(const SettingRow& aRow, const SettingsNode& aNode)
 {
   switch (aRow.type) {
     case SettingType::Integer:
@@ -99,7 +99,7 @@
 }
 
 std::string
-shown(const SettingsNode& aNode)
+valueText(const SettingsNode& aNode)
 {
   if (const auto* text = std::get_if<std::string>(&aNode.value)) {
     return "\"" + text->substr(0, kMaxNameLength) + "\"";
--- a/src/config/SettingValue.h
+++ b/src/config/SettingValue.h
@@ -8,19 +8,22 @@
 
 namespace poplartrack {
 
-/** The type of the value is the one that the row wants. */
+/** Returns whether the value has the type that the row requires. */
 bool
 hasType(const SettingRow& aRow, const SettingsNode& aNode);
 
-/** A value for which hasType holds is also in range and well formed. */
+/**
+ * Returns whether a value is in range and well formed. hasType must hold for
+ * it.
+ */
 bool
-isPossible(const SettingRow& aRow, const SettingsNode& aNode);
+isValidValue(const SettingRow& aRow, const SettingsNode& aNode);
 
-/** The value as it is shown in a message. */
+/** Formats a value for an error message; long strings are cut. */
 std::string
-shown(const SettingsNode& aNode);
+valueText(const SettingsNode& aNode);
 
-/** True for a name of letters, digits, '-', '_' and '.', 1 to 64 long. */
+/** Returns whether a text is 1 to 64 letters, digits, '-', '_' and '.'. */
 bool
 isName(std::string_view aText);
 
--- a/src/config/SettingsBinding.h
+++ b/src/config/SettingsBinding.h
@@ -21,8 +21,8 @@
 namespace poplartrack {
 
 /**
- * Takes one setting of a checked tree into a field. A key that is not given
- * leaves the field's default.
+ * Copies one setting of a validated tree into a field. A key that is not given
+ * leaves the field's default unchanged.
  */
 template<std::integral T>
 void
@@ -60,7 +60,7 @@
   }
 }
 
-/** A setting in milliseconds. */
+/** Copies a setting in milliseconds. */
 inline void
 bind(const SettingsNode& aTable, std::string_view aKey, Duration& aField)
 {
@@ -69,7 +69,7 @@
   }
 }
 
-/** A table of a tree; an empty one when it is not given. */
+/** Returns a table of a tree; an empty table if the key is not given. */
 inline const SettingsNode&
 tableOf(const SettingsNode& aRoot, std::string_view aKey)
 {
@@ -78,7 +78,7 @@
   return node == nullptr ? kEmpty : *node;
 }
 
-/** An address; the check has seen that it is one. */
+/** Copies an address; validation has checked its format. */
 inline void
 bind(const SettingsNode& aTable, std::string_view aKey, Address& aField)
 {
@@ -90,7 +90,10 @@
   }
 }
 
-/** Parses and checks a settings file's text against its rows, and reads it. */
+/**
+ * Parses the text of a settings file and validates it against its rows. If it
+ * is valid, aRead converts the tree to the result's value.
+ */
 template<typename T, typename Read>
 Checked<T>
 parseSettings(const std::string& aFile,
@@ -113,7 +116,7 @@
   return result;
 }
 
-/** The text of a settings file, or the problem that it cannot be read. */
+/** Returns the text of a settings file, or a problem if it is unreadable. */
 inline Checked<std::string>
 readSettingsFile(const std::string& aPath)
 {
@@ -130,7 +133,10 @@
   return result;
 }
 
-/** Calls aVisit(name, node) for each entry of a table of names. */
+/**
+ * Calls aVisit(name, node) for each entry of the table at aKey. Does nothing
+ * if there is no such table.
+ */
 template<typename Visit>
 void
 forEachEntry(const SettingsNode& aTable, std::string_view aKey, Visit&& aVisit)
--- a/src/config/SettingsCheck.cpp
+++ b/src/config/SettingsCheck.cpp
@@ -8,131 +8,139 @@
 namespace poplartrack {
 namespace {
 
+/** Part of a row's path that matches any valid name. */
 constexpr std::string_view kAnyName = "*";
 
-/** The rows as a tree, one level a key. */
+/** The rows as a tree, one level for each part of the dotted path. */
 struct SchemaNode
 {
   std::map<std::string, SchemaNode, std::less<>> children;
+  /** The setting at this node; nullptr for a table. */
   const SettingRow* row = nullptr;
 };
 
 SchemaNode
-schemaOf(std::span<const SettingRow> aRows)
+buildSchema(std::span<const SettingRow> aRows)
 {
   SchemaNode root;
   for (const SettingRow& row : aRows) {
-    SchemaNode* place = &root;
-    std::string_view rest = row.path;
-    while (!rest.empty()) {
-      const auto dot = rest.find('.');
-      place = &place->children[std::string{ rest.substr(0, dot) }];
-      rest.remove_prefix(dot == std::string_view::npos ? rest.size() : dot + 1);
+    SchemaNode* node = &root;
+    std::string_view remaining = row.path;
+    while (!remaining.empty()) {
+      const auto dot = remaining.find('.');
+      node = &node->children[std::string{ remaining.substr(0, dot) }];
+      remaining.remove_prefix(dot == std::string_view::npos ? remaining.size()
+                                                            : dot + 1);
     }
-    place->row = &row;
+    node->row = &row;
   }
   return root;
 }
 
-/** One walk over a tree. */
-class SettingsWalk
+/** Walks a settings tree along the schema and collects the problems. */
+class SettingsChecker
 {
 public:
-  SettingsWalk(const std::vector<std::string>& aFiles,
-               TreeExtent aExtent,
-               std::vector<SettingsProblem>& aProblems)
+  SettingsChecker(const std::vector<std::string>& aFiles,
+                  TreeExtent aExtent,
+                  std::vector<SettingsProblem>& aProblems)
     : files(aFiles)
     , extent(aExtent)
     , problems(aProblems)
   {
   }
 
-  void table(const SettingsNode& aNode,
-             const SchemaNode& aSchema,
-             const std::string& aPath)
+  /** Checks a table and everything below it. */
+  void checkTable(const SettingsNode& aNode,
+                  const SchemaNode& aSchema,
+                  const std::string& aPath)
   {
     const SettingsTable* entries = aNode.table();
     if (entries == nullptr) {
-      this->report(aNode,
-                   aPath,
-                   "a table is wanted, not the " +
-                     std::string{ typeNameOf(aNode) });
+      this->addProblem(aNode,
+                       aPath,
+                       "a table is wanted, not the " +
+                         std::string{ typeNameOf(aNode) });
       return;
     }
     for (const auto& [key, child] : *entries) {
-      this->entry(key, child, aSchema, aPath);
+      this->checkEntry(key, child, aSchema, aPath);
     }
     if (this->extent == TreeExtent::Whole) {
-      this->missing(aNode, aSchema, aPath);
+      this->reportMissingKeys(aNode, aSchema, aPath);
     }
   }
 
 private:
-  void entry(const std::string& aKey,
-             const SettingsNode& aNode,
-             const SchemaNode& aSchema,
-             const std::string& aPath)
+  /** Checks one key of a table: that it is known, then its value. */
+  void checkEntry(const std::string& aKey,
+                  const SettingsNode& aNode,
+                  const SchemaNode& aSchema,
+                  const std::string& aPath)
   {
-    const std::string path = joined(aPath, aKey);
+    const std::string path = joinPath(aPath, aKey);
     auto known = aSchema.children.find(aKey);
     if (known == aSchema.children.end()) {
       known = aSchema.children.find(kAnyName);
       if (known != aSchema.children.end() && !isName(aKey)) {
-        this->report(aNode,
-                     path,
-                     "is no name; use letters, digits, '-', '_', '.', at "
-                     "most 64");
+        this->addProblem(aNode,
+                         path,
+                         "is no name; use letters, digits, '-', '_', '.', at "
+                         "most 64");
         return;
       }
     }
     if (known == aSchema.children.end()) {
-      this->report(aNode, path, unknownKeyText(aKey, aSchema));
+      this->addProblem(aNode, path, unknownKeyText(aKey, aSchema));
       return;
     }
     if (known->second.row == nullptr) {
-      this->table(aNode, known->second, path);
+      this->checkTable(aNode, known->second, path);
       return;
     }
-    this->value(aNode, *known->second.row, path);
+    this->checkValue(aNode, *known->second.row, path);
   }
 
-  void value(const SettingsNode& aNode,
-             const SettingRow& aRow,
-             const std::string& aPath)
+  /** Checks type and range of a single setting. */
+  void checkValue(const SettingsNode& aNode,
+                  const SettingRow& aRow,
+                  const std::string& aPath)
   {
     if (!hasType(aRow, aNode)) {
-      this->report(aNode,
-                   aPath,
-                   "wrong type " + std::string{ typeNameOf(aNode) } +
-                     "; write " + wantedText(aRow));
+      this->addProblem(aNode,
+                       aPath,
+                       "wrong type " + std::string{ typeNameOf(aNode) } +
+                         "; write " + expectedValueText(aRow));
       return;
     }
-    if (!isPossible(aRow, aNode)) {
-      this->report(aNode,
-                   aPath,
-                   "impossible value " + shown(aNode) + "; write " +
-                     wantedText(aRow));
+    if (!isValidValue(aRow, aNode)) {
+      this->addProblem(aNode,
+                       aPath,
+                       "impossible value " + valueText(aNode) + "; write " +
+                         expectedValueText(aRow));
     }
   }
 
-  void missing(const SettingsNode& aNode,
-               const SchemaNode& aSchema,
-               const std::string& aPath)
+  /** Reports the required keys that a table and the tables below it lack. */
+  void reportMissingKeys(const SettingsNode& aNode,
+                         const SchemaNode& aSchema,
+                         const std::string& aPath)
   {
     for (const auto& [key, child] : aSchema.children) {
       if (key == kAnyName || aNode.find(key) != nullptr) {
         continue;
       }
-      const std::string path = joined(aPath, key);
+      const std::string path = joinPath(aPath, key);
       if (child.row == nullptr) {
-        this->missing(aNode, child, path);
+        this->reportMissingKeys(aNode, child, path);
       } else if (child.row->required()) {
-        this->report(
-          aNode, path, "is missing; write " + wantedText(*child.row));
+        this->addProblem(
+          aNode, path, "is missing; write " + expectedValueText(*child.row));
       }
     }
   }
 
+  /** Suggests the nearest known key, or lists all of them. */
   static std::string unknownKeyText(const std::string& aKey,
                                     const SchemaNode& aSchema)
   {
@@ -147,14 +155,14 @@
                            : "unknown key; did you mean \"" + nearest + "\"?";
   }
 
-  static std::string joined(const std::string& aPath, const std::string& aKey)
+  static std::string joinPath(const std::string& aPath, const std::string& aKey)
   {
     return aPath.empty() ? aKey : aPath + "." + aKey;
   }
 
-  void report(const SettingsNode& aNode,
-              const std::string& aPath,
-              std::string aMessage)
+  void addProblem(const SettingsNode& aNode,
+                  const std::string& aPath,
+                  std::string aMessage)
   {
     this->problems.push_back(SettingsProblem{
       this->files[aNode.file], aNode.line, aPath, std::move(aMessage) });
@@ -174,7 +182,8 @@
               TreeExtent aExtent,
               std::vector<SettingsProblem>& aProblems)
 {
-  SettingsWalk{ aFiles, aExtent, aProblems }.table(aRoot, schemaOf(aRows), {});
+  SettingsChecker{ aFiles, aExtent, aProblems }.checkTable(
+    aRoot, buildSchema(aRows), {});
 }
 
 } // namespace poplartrack
--- a/src/config/SettingsNode.cpp
+++ b/src/config/SettingsNode.cpp
@@ -25,20 +25,20 @@
 }
 
 void
-mergeOver(SettingsNode& aEarly, SettingsNode aLate)
+mergeOver(SettingsNode& aBase, SettingsNode aOverride)
 {
-  auto* early = std::get_if<SettingsTable>(&aEarly.value);
-  auto* late = std::get_if<SettingsTable>(&aLate.value);
-  if (early == nullptr || late == nullptr) {
-    aEarly = std::move(aLate);
+  auto* base = std::get_if<SettingsTable>(&aBase.value);
+  auto* overrides = std::get_if<SettingsTable>(&aOverride.value);
+  if (base == nullptr || overrides == nullptr) {
+    aBase = std::move(aOverride);
     return;
   }
-  for (auto& [key, node] : *late) {
-    const auto place = early->find(key);
-    if (place == early->end()) {
-      early->emplace(key, std::move(node));
+  for (auto& [key, node] : *overrides) {
+    const auto existing = base->find(key);
+    if (existing == base->end()) {
+      base->emplace(key, std::move(node));
     } else {
-      mergeOver(place->second, std::move(node));
+      mergeOver(existing->second, std::move(node));
     }
   }
 }
--- a/src/config/TomlDocument.cpp
+++ b/src/config/TomlDocument.cpp
@@ -5,25 +5,33 @@
 
 #include "TomlGuard.h"
 
-// A hostile file must not exhaust the stack: the library and the conversion
-// below recurse once for each level of nesting.
+// Limits the nesting of values, since the library and the conversion below
+// recurse once per level: a hostile file must not exhaust the stack.
 #define TOML_MAX_NESTED_VALUES 16
-// The library's throw ends in parseOnce.
+// The library reports errors by exceptions; parseOnce catches them.
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
 
 namespace poplartrack {
 namespace {
 
-/** Dotted keys nest without a bracket, which the library does not bound. */
+/**
+ * Each dot of a dotted key nests a table without a bracket. The library does
+ * not limit that depth.
+ */
 constexpr std::ptrdiff_t kMaxDotsPerLine = 200;
-constexpr int kMaxDepth = 16;
+/** Values below this depth are not converted, to bound the recursion. */
+constexpr int kMaxTreeDepth = 16;
+/** Parsing stops after this many errors; each one costs another parse. */
 constexpr int kMaxErrorsPerFile = 30;
-/** Takes the keys under a header that is itself an error. */
-constexpr std::string_view kRejectedTable = "rejected-header-";
+/**
+ * Name of the table, with a number appended, that replaces a header with an
+ * error. It receives the keys that follow the header and is then removed.
+ */
+constexpr std::string_view kRejectedHeaderPrefix = "rejected-header-";
 
 std::vector<std::string>
-linesOf(std::string_view aText)
+splitLines(std::string_view aText)
 {
   std::vector<std::string> lines;
   while (!aText.empty()) {
@@ -35,7 +43,7 @@
 }
 
 std::string
-joined(const std::vector<std::string>& aLines)
+joinLines(const std::vector<std::string>& aLines)
 {
   std::string text;
   for (const std::string& line : aLines) {
@@ -45,19 +53,21 @@
   return text;
 }
 
-/** Where a parse ended before the end of the text. */
+/** The line on which a parse failed, and why. */
 struct ParseFailure
 {
+  /** Counted from 1. */
   std::uint32_t line = 0;
   std::string description;
 
-  [[nodiscard]] bool redefines() const
+  /** Whether the error is a duplicate key or table; the library's text says. */
+  [[nodiscard]] bool isRedefinition() const
   {
     return this->description.find("redefin") != std::string::npos;
   }
 };
 
-/** The key or header text of a line, for the report. */
+/** Returns the key or the header name of a line, for an error message. */
 std::string
 keyOfLine(const std::string& aLine)
 {
@@ -72,9 +82,9 @@
   return key;
 }
 
-/** The header that a line of a file stands under; empty at the top. */
+/** Returns the header above a line; empty if there is none. */
 std::string
-headerAbove(const std::vector<std::string>& aLines, std::size_t aIndex)
+enclosingHeader(const std::vector<std::string>& aLines, std::size_t aIndex)
 {
   for (std::size_t i = aIndex; i > 0; --i) {
     const std::string& line = aLines[i - 1];
@@ -93,22 +103,24 @@
   return first != std::string::npos && aLine[first] == '[';
 }
 
+/** Converts a node of the library and everything below it. */
 SettingsNode
-convert(const toml::node& aNode, std::uint32_t aFile, int aDepth)
+toSettingsNode(const toml::node& aNode, std::uint32_t aFile, int aDepth)
 {
   SettingsNode node;
   node.file = aFile;
   node.line = aNode.source().begin.line;
-  if (aDepth > kMaxDepth) {
+  if (aDepth > kMaxTreeDepth) {
     return node;
   }
   if (const auto* table = aNode.as_table()) {
     SettingsTable entries;
     for (const auto& [key, child] : *table) {
       entries.emplace(std::string{ key.str() },
-                      convert(child, aFile, aDepth + 1));
+                      toSettingsNode(child, aFile, aDepth + 1));
       SettingsNode& entry = entries.find(key.str())->second;
-      // A value's own source is the value; a header's is the header.
+      // The position of a value is its own, that of a table is its header's.
+      // A node without a position gets the line of its key.
       if (entry.line == 0) {
         entry.line = key.source().begin.line;
       }
@@ -117,7 +129,7 @@
   } else if (const auto* array = aNode.as_array()) {
     SettingsArray items;
     for (const auto& child : *array) {
-      items.push_back(convert(child, aFile, aDepth + 1));
+      items.push_back(toSettingsNode(child, aFile, aDepth + 1));
     }
     node.value = std::move(items);
   } else if (const auto* text = aNode.as_string()) {
@@ -132,25 +144,27 @@
   return node;
 }
 
+/** Parses the whole text up to the first error. */
 std::variant<SettingsNode, ParseFailure>
 parseOnce(const std::vector<std::string>& aLines, std::uint32_t aFileIndex)
 {
-  if (auto rejected = rejectedLine(aLines)) {
+  if (auto rejected = findRejectedLine(aLines)) {
     return ParseFailure{ static_cast<std::uint32_t>(rejected->index + 1),
-                         std::move(rejected->why) };
+                         std::move(rejected->reason) };
   }
   try {
-    return convert(toml::parse(joined(aLines)), aFileIndex, 0);
+    return toSettingsNode(toml::parse(joinLines(aLines)), aFileIndex, 0);
   } catch (const toml::parse_error& error) {
     return ParseFailure{ error.source().begin.line,
                          std::string{ error.description() } };
   }
 }
 
+/** Returns a problem if the file is too large or nests too deeply. */
 std::optional<SettingsProblem>
-tooLarge(const std::string& aFile,
-         std::string_view aText,
-         const std::vector<std::string>& aLines)
+findSizeProblem(const std::string& aFile,
+                std::string_view aText,
+                const std::vector<std::string>& aLines)
 {
   if (aText.size() > kMaxSettingsFileBytes) {
     return SettingsProblem{
@@ -169,44 +183,51 @@
   return std::nullopt;
 }
 
-/** Leaves out a line so that the rest can be parsed; false: no use. */
+/**
+ * Blanks a line with an error so that the rest can be parsed. Returns false if
+ * the line is neither a header nor holds a '=': the caller then stops
+ * parsing, since blanking one line of a value that spans several does not help.
+ */
 bool
-leaveOut(std::string& aLine, int aCount)
+blankLine(std::string& aLine, int aErrorIndex)
 {
   if (isHeader(aLine)) {
-    // Keys below would else fall to the table above.
-    aLine = "[" + std::string{ kRejectedTable } + std::to_string(aCount) + "]";
+    // Otherwise the keys that follow would belong to the table above.
+    aLine = "[" + std::string{ kRejectedHeaderPrefix } +
+            std::to_string(aErrorIndex) + "]";
     return true;
   }
-  const bool useful = aLine.find('=') != std::string::npos;
+  const bool isKeyValue = aLine.find('=') != std::string::npos;
   aLine.clear();
-  return useful;
+  return isKeyValue;
 }
 
+/** Removes the tables that blankLine added. */
 void
-dropRejected(SettingsNode& aRoot)
+removeRejectedTables(SettingsNode& aRoot)
 {
   std::erase_if(std::get<SettingsTable>(aRoot.value), [](const auto& aEntry) {
-    return aEntry.first.starts_with(kRejectedTable);
+    return aEntry.first.starts_with(kRejectedHeaderPrefix);
   });
 }
 
+/** Describes a parse failure with the key of its line and the table above. */
 SettingsProblem
-problemOf(const std::string& aFile,
-          const std::vector<std::string>& aLines,
-          std::size_t aIndex,
-          const ParseFailure& aFailure)
+makeProblem(const std::string& aFile,
+            const std::vector<std::string>& aLines,
+            std::size_t aIndex,
+            const ParseFailure& aFailure)
 {
   const std::string& line = aLines[aIndex];
   SettingsProblem problem{
     aFile, static_cast<std::uint32_t>(aIndex + 1), keyOfLine(line), ""
   };
   const std::string header =
-    isHeader(line) ? std::string{} : headerAbove(aLines, aIndex);
+    isHeader(line) ? std::string{} : enclosingHeader(aLines, aIndex);
   if (!header.empty()) {
     problem.key = header + "." + problem.key;
   }
-  problem.message = aFailure.redefines()
+  problem.message = aFailure.isRedefinition()
                       ? "duplicate: it is already given in this file; keep "
                         "one of the two"
                       : "no TOML: " + aFailure.description;
@@ -223,8 +244,8 @@
   TomlDocument document;
   document.root.value = SettingsTable{};
   document.root.file = aFileIndex;
-  std::vector<std::string> lines = linesOf(aText);
-  if (auto problem = tooLarge(aFile, aText, lines)) {
+  std::vector<std::string> lines = splitLines(aText);
+  if (auto problem = findSizeProblem(aFile, aText, lines)) {
     document.problems.push_back(std::move(*problem));
     document.incomplete = true;
     return document;
@@ -234,18 +255,19 @@
     auto parsed = parseOnce(lines, aFileIndex);
     if (auto* root = std::get_if<SettingsNode>(&parsed)) {
       document.root = std::move(*root);
-      dropRejected(document.root);
+      removeRejectedTables(document.root);
       return document;
     }
     const auto& failure = std::get<ParseFailure>(parsed);
-    document.incomplete = document.incomplete || !failure.redefines();
+    document.incomplete = document.incomplete || !failure.isRedefinition();
     if (lines.empty()) {
       return document;
     }
     const std::size_t line =
       std::min<std::size_t>(std::max(failure.line, 1U), lines.size());
-    document.problems.push_back(problemOf(aFile, original, line - 1, failure));
-    if (!leaveOut(lines[line - 1], errors)) {
+    document.problems.push_back(
+      makeProblem(aFile, original, line - 1, failure));
+    if (!blankLine(lines[line - 1], errors)) {
       break;
     }
   }
--- a/src/config/TomlGuard.h
+++ b/src/config/TomlGuard.h
@@ -12,22 +12,23 @@
 {
   /** Counted from 0. */
   std::size_t index = 0;
-  std::string why;
+  std::string reason;
 };
 
 /**
- * The first line on which the TOML library would have undefined behaviour. It
- * takes some input for granted that no file has to honour:
+ * Returns the first line on which the TOML library would have undefined
+ * behaviour. The library assumes, without a check, that a file has:
  *
- * - a name after '[' (else an assertion, or nothing to stop it);
- * - ASCII outside of strings and comments: asked whether a letter such as
- *   U+00F8 is white space, it reaches a place marked as unreachable;
+ * - a name after '[': without one it fails an assertion, or, with assertions
+ *   off, continues unchecked;
+ * - only ASCII outside of strings and comments: its test whether a letter such
+ *   as U+00F8 is white space reaches code marked as unreachable;
  * - valid UTF-8.
  *
- * The fuzz target found each; refusing such lines here suffices, since every
- * later step of the library is behind these.
+ * The fuzz target found each of these. Rejecting such lines before parsing is
+ * enough, since every later step of the library comes after these checks.
  */
 std::optional<RejectedLine>
-rejectedLine(const std::vector<std::string>& aLines);
+findRejectedLine(const std::vector<std::string>& aLines);
 
 } // namespace poplartrack
--- a/tests/unit/config/FolderTest.cpp
+++ b/tests/unit/config/FolderTest.cpp
@@ -28,7 +28,7 @@
   return SettingsFile{ std::move(aName), std::string{ aText } };
 }
 
-TEST(Folder, mergesInTheOrderOfNamesLateOverEarly)
+TEST(Folder, mergesByNameLaterFilesOverride)
 {
   const auto merged = mergeFolder(
     { file("90-late.toml",
@@ -47,7 +47,7 @@
     configuration.services.at("kituo").operations.at("dispatch").idempotent);
 }
 
-TEST(Folder, namesEveryMistakeOfAFileAtOnce)
+TEST(Folder, reportsEveryMistakeOfAFileAtOnce)
 {
   const auto merged = mergeFolder({ file("10-all.toml", R"([models.m]
 layers = "24"
@@ -80,7 +80,7 @@
     "this file; keep one of the two\n");
 }
 
-TEST(Folder, aMistakeThatALateFileHidesIsStillNamed)
+TEST(Folder, reportsAMistakeThatALaterFileOverrides)
 {
   const auto merged =
     mergeFolder({ file("10.toml", kModels),
@@ -90,7 +90,7 @@
   EXPECT_EQ(merged.problems[0].file, "20.toml");
 }
 
-TEST(Folder, aLineThatIsNoTomlDoesNotHideTheOthers)
+TEST(Folder, aSyntaxErrorDoesNotHideOtherMistakes)
 {
   const auto merged =
     mergeFolder({ file("10.toml", "[models.m]\nlayers = = 3\nversion = 3\n") });
@@ -99,10 +99,11 @@
   EXPECT_EQ(merged.problems[1].key, "models.m.version");
 }
 
-/** On each of these lines the TOML library has undefined behaviour, as the
- * fuzzer found: a header without a name, a letter beyond ASCII in a bare key
- * or after a value, a byte that is no UTF-8. Each must be named, not parsed. */
-TEST(Folder, linesThatTheLibraryCannotTakeAreProblems)
+/** Each of these lines, found by the fuzzer, causes undefined behaviour in the
+ * TOML library: a header without a name, a non-ASCII letter in a bare key or
+ * after a value, a byte that is not UTF-8. Each must be reported as a problem
+ * and not reach the library. */
+TEST(Folder, reportsLinesThatTheTomlLibraryCannotHandle)
 {
   for (const std::string_view line : { "[",
                                        "[[",
@@ -122,7 +123,9 @@
   EXPECT_TRUE(fine.ok()) << toText(fine.problems);
 }
 
-TEST(Folder, deepNestingIsAProblemNotACrash)
+/** Guards against a stack overflow: the TOML library recurses once per level.
+ */
+TEST(Folder, reportsDeepNestingWithoutACrash)
 {
   std::string dots = "a";
   for (int i = 0; i < 100000; ++i) {
@@ -133,7 +136,7 @@
   EXPECT_FALSE(mergeFolder({ file("1.toml", "a = " + open) }).ok());
 }
 
-TEST(Folder, checksWhatHoldsBetweenKeys)
+TEST(Folder, checksRulesThatSpanSeveralKeys)
 {
   const auto merged = mergeFolder(
     { file("1.toml",
@@ -154,8 +157,9 @@
                                        "accounts.b.secret_sha256" }));
 }
 
-/** The documented default of each setting is what the code does. */
-TEST(Folder, givingTheDefaultsChangesNothing)
+/** Guards against a documented default that differs from the default in the
+ * code: writing the defaults out must give the same configuration. */
+TEST(Folder, explicitDefaultsChangeNothing)
 {
   const std::string required = std::string{ kModels } + "[accounts.shop]\n" +
                                kSecret + "[services.kituo]\n";
@@ -172,7 +176,7 @@
     if (const auto star = path.find('*'); star != std::string::npos) {
       path.replace(star, 1, name);
     }
-    defaults += path + " = " + std::string{ row.fallback } + "\n";
+    defaults += path + " = " + std::string{ row.defaultValue } + "\n";
   }
   const auto plain = mergeFolder({ file("1.toml", required) });
   const auto given =
@@ -198,7 +202,7 @@
   EXPECT_EQ(toRevisionText(back.value()), text);
 }
 
-TEST(RevisionText, refusesWhatIsNoWholeRevision)
+TEST(RevisionText, rejectsTruncatedAndInvalidText)
 {
   const auto merged = mergeFolder({ file("1.toml", kModels) });
   const std::string text = toRevisionText(merged.value);
--- a/tests/unit/config/ProcessSettingsTest.cpp
+++ b/tests/unit/config/ProcessSettingsTest.cpp
@@ -15,7 +15,7 @@
 address = "127.0.0.1:9000"
 )";
 
-TEST(ProcessSettings, anEntryReadsItsPlaceAndPeers)
+TEST(ProcessSettings, anEntryReadsItsZonePeersAndTuning)
 {
   const auto loaded = parseProcessSettings(
     "entry.toml",
@@ -48,12 +48,12 @@
             "wire\n");
 }
 
-TEST(ProcessSettings, aFileThatIsNotThereIsAProblem)
+TEST(ProcessSettings, aMissingFileIsAProblem)
 {
   EXPECT_FALSE(loadProcessSettings("no-such.toml", ProcessRole::Side).ok());
 }
 
-TEST(SecretHash, isSha256)
+TEST(SecretHash, isLowerCaseHexSha256)
 {
   const std::string hash =
     "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
--- a/tests/unit/config/SettingsDocTest.cpp
+++ b/tests/unit/config/SettingsDocTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 std::string
-operatingPage()
+operationsPage()
 {
   std::ifstream stream{ POPLARTRACK_SOURCE_DIR "/docs/OPERATIONS.md" };
   std::ostringstream text;
@@ -23,18 +23,18 @@
 expectDocumented(const std::string& aPage, std::span<const SettingRow> aRows)
 {
   for (const SettingRow& row : aRows) {
-    const std::string line = toDocLine(row) + "\n";
+    const std::string line = toDocTableRow(row) + "\n";
     EXPECT_NE(aPage.find(line), std::string::npos)
       << "docs/OPERATIONS.md lacks this line:\n"
       << line;
   }
 }
 
-/** The page says of each setting what the code checks: place, range,
- * default. */
-TEST(SettingsDoc, everySettingStandsOnTheOperatorsPage)
+/** Guards against docs/OPERATIONS.md falling behind the code: it must list each
+ * setting with the key, allowed values, default and description of its row. */
+TEST(SettingsDoc, operationsPageListsEverySetting)
 {
-  const std::string page = operatingPage();
+  const std::string page = operationsPage();
   expectDocumented(page, folderSettings());
   expectDocumented(page, processSettings(ProcessRole::Entry));
   expectDocumented(page, processSettings(ProcessRole::Side));
