--- a/src/config/ProcessSettings.cpp
+++ b/src/config/ProcessSettings.cpp
@@ -40,8 +40,8 @@
   kAnyLoopbackPort, "HTTP for health and metrics"
 };
 constexpr SettingRow kPlatformAddress{
-  "platform.address",      SettingType::AddressText, 0, 0, "", "",
-  "the platform's service"
+  "platform.address",       SettingType::AddressText, 0, 0, "", "",
+  "address of the platform"
 };
 constexpr SettingRow kPeerEntries{ "peers.entries",
                                    AddressList,
@@ -92,24 +92,25 @@
   0,
   "",
   "true",
-  "whether this entry may order endpoints which layers to hold"
+  "whether this entry may assign layers to endpoints"
 };
-constexpr SettingRow kDrainGrace{
-  "tuning.drain_grace_ms",
+constexpr SettingRow kDrainGrace{ "tuning.drain_grace_ms",
+                                  Integer,
+                                  0,
+                                  60000,
+                                  "",
+                                  "5000",
+                                  "how long a stopping entry still accepts "
+                                  "callers, until the load balancer notices" };
+constexpr SettingRow kMaxCallers{
+  "tuning.max_callers",
   Integer,
-  0,
-  60000,
+  1,
+  100000,
   "",
-  "5000",
-  "how long a stopping entry still takes callers, until the balancer notices"
+  "1024",
+  "maximum number of concurrent caller connections"
 };
-constexpr SettingRow kMaxCallers{ "tuning.max_callers",
-                                  Integer,
-                                  1,
-                                  100000,
-                                  "",
-                                  "1024",
-                                  "connections of callers at once" };
 
 constexpr std::array kEntrySettings{
   kProcessName,     kProcessZone, kProcessRegion, kListenCallers, kListenWire,
@@ -132,7 +133,7 @@
               0,
               "",
               "",
-              "the endpoint behind this side" },
+              "name of the endpoint beside this side" },
   SettingRow{ "endpoint.address",
               SettingType::AddressText,
               0,
