--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -66,8 +66,8 @@
   const bool proofOld =
     config != nullptr && this->configReachable &&
     StorePollSchedule::needsProofRead(this->shared.freshness.age(),
-                                  now - this->proofReadAt,
-                                  this->settings.configDeadline);
+                                      now - this->proofReadAt,
+                                      this->settings.configDeadline);
   if (!this->stopping && (behind || proofOld)) {
     this->configBehindSince.reset();
     this->proofReadAt = now;
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -127,7 +127,7 @@
 FleetControl<Store>::batchDelay() const
 {
   return StorePollSchedule::batchDelay(this->shared.receivedRequest ||
-                                        this->placementFence != 0);
+                                       this->placementFence != 0);
 }
 
 template<FleetStoreLike Store>
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -209,7 +209,8 @@
   }
   if (connection->second->state == ReplicaConnection::State::Connecting) {
     if (this->now - aExchange.sentAt >= kConnectTimeout) {
-      this->onAttemptFailed(aExchange, ReplicaFailure::Unreachable, "connect timeout");
+      this->onAttemptFailed(
+        aExchange, ReplicaFailure::Unreachable, "connect timeout");
       return;
     }
   } else if (!aExchange.path.parts.empty()) {
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -48,7 +48,8 @@
                                  : "answers_with_unreadable_limit_total");
   }
   const Replica* replica = this->replicaById(aExchange.replica);
-  const bool isConclusive = field ? aExchange.reportedLimit.has_value() : success;
+  const bool isConclusive =
+    field ? aExchange.reportedLimit.has_value() : success;
   if (replica == nullptr || !isConclusive ||
       !this->replicaLimits.onAnswer(
         replica->id, replica->zone, aExchange.reportedLimit, this->now)) {
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -94,7 +94,8 @@
   // Without retry budget the request keeps its attempt: the lost layers are
   // available again in its zone after about one second, and the first replica
   // keeps the work for longer than that.
-  const RetryPriority need = aPlanned ? RetryPriority::Planned : retryNeedOf(aExchange);
+  const RetryPriority need =
+    aPlanned ? RetryPriority::Planned : retryNeedOf(aExchange);
   if (needsMoreCrossings && mayResume && preferResume &&
       this->budgetOf(aExchange).mayRetry(need, this->now) &&
       this->choosePath(aExchange, {}).ok()) {
--- a/src/relay/RelayReplicas.cpp
+++ b/src/relay/RelayReplicas.cpp
@@ -166,7 +166,8 @@
 {
   const auto exchange = this->exchanges.find(aConnection.exchange);
   if (!aConnection.anySent && !aConnection.output.empty() &&
-      exchange != this->exchanges.end() && !this->isConfigFresh(*exchange->second)) {
+      exchange != this->exchanges.end() &&
+      !this->isConfigFresh(*exchange->second)) {
     // The process may have been suspended since the request was admitted, and
     // its key may have been revoked meanwhile. No byte of the request has been
     // sent yet.
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -50,9 +50,10 @@
 RelayLoop::Impl::stallTimeoutOf(const Exchange& aExchange) const
 {
   const bool hasEvents = aExchange.streaming && aExchange.events > 0;
-  const Duration expected = hasEvents ? aExchange.path.perToken * kTokensPerEvent
-                                  : aExchange.path.firstToken +
-                                      aExchange.path.perToken * kTokensPerEvent;
+  const Duration expected =
+    hasEvents
+      ? aExchange.path.perToken * kTokensPerEvent
+      : aExchange.path.firstToken + aExchange.path.perToken * kTokensPerEvent;
   if (this->usesLostReplica(aExchange)) {
     return aExchange.overdue ? kMoveRetryDelay
                              : std::clamp(expected * kLostPathStallFactor,
