--- a/include/poplartrack/retry/RecentlyServedRequests.h
+++ b/include/poplartrack/retry/RecentlyServedRequests.h
@@ -12,9 +12,8 @@
 /**
  * Remembers which requests replicas completed recently, by fingerprint, and
  * when last. A request that many callers send is in flight at many replicas,
- * and so also at any replica that crashes for another reason; having been
- * served recently, it is unlikely to be the cause. Bounded; does no I/O; not
- * thread-safe.
+ * and so also at any replica that crashes for another reason. Bounded; does no
+ * I/O; not thread-safe.
  */
 class RecentlyServedRequests
 {
--- a/src/retry/CrashLedger.cpp
+++ b/src/retry/CrashLedger.cpp
@@ -16,9 +16,9 @@
  * it is put into quarantine. */
 constexpr std::size_t kCrashLimit = 3;
 
-/** Number of crashed replicas from which on no trial run is allowed. Even a
- * request that many callers send is rarely in flight at so many replicas that
- * crash for another reason. */
+/** Number of crashed replicas from which on no trial run is allowed. It bounds
+ * how many replicas one request can crash in all, however many callers send it.
+ */
 constexpr std::size_t kTrialCrashLimit = 5;
 
 /** How long a quarantine lasts. By then the replicas may run another version,
