--- a/src/relay/Exchange.h
+++ b/src/relay/Exchange.h
@@ -100,7 +100,7 @@
   /** No progress for longer than the stall timeout; the cause is being looked
    * for, or a move to another path has been ordered. */
   bool overdue = false;
-  /** When the overdue request was last handled; see onOverdue. */
+  /** When the overdue request was last handled; see onStallTimeout. */
   TimePoint overdueHandledAt{};
   /** Number of orders to move the request to another path. */
   std::uint32_t repairs = 0;
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -107,7 +107,7 @@
 }
 
 /** Rejects the request, or starts its first attempt. Called again after
- * kWaitPause while the request waits for the relay's start. */
+ * kWaitRetryInterval while the request waits for the relay's start. */
 void
 RelayLoop::Impl::admit(Exchange& aExchange)
 {
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -19,8 +19,8 @@
 constexpr int kMaxSends = 4;
 
 /** The same for a stream of which the caller has received a part. When a zone
- * is lost, several replicas run out of memory at once, and each refuses the
- * stream. */
+ * is lost, several copies of the model are short of memory at once, and each
+ * refuses the stream. */
 constexpr int kMaxStreamSends = 8;
 
 bool
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -27,8 +27,8 @@
 
 /**
  * Returns how many zone crossings a prompt can make within half of its latency
- * objective. With more crossings its first event is late, and it delays other
- * requests at the links that could still be on time.
+ * objective. With more crossings its first event is late, and other requests
+ * that could be on time wait for the links.
  */
 std::uint32_t
 maxCrossingsInTime(const Exchange& aExchange, const PathDemand& aDemand)
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -29,8 +29,8 @@
 constexpr Duration kMoveRetryDelay = std::chrono::milliseconds{ 150 };
 
 /** Minimum time between two report requests to a stalled stream's first
- * replica. One report serves all its streams. A report is up to 200 ms old,
- * so the next one may show a stall that the first one doesn't. */
+ * replica. One report serves all its streams. A report is 200 ms old, so the
+ * next one may show a stall that the first one doesn't. */
 constexpr Duration kMinReportInterval = std::chrono::milliseconds{ 90 };
 
 /** The same for the other replicas of a stalled stream's path, and for slow
