--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -15,8 +15,8 @@
 /** Interval between polls of the lease by other relays in that case. */
 constexpr Duration kLeasePollIntervalWithLeader = std::chrono::seconds{ 20 };
 
-/** Timeout of a read of everything, when nothing is known yet. A slow store
- * answers within 300 ms. */
+/** Timeout of a read of everything, when nothing is known yet. A slow store may
+ * take 300 ms. */
 constexpr Duration kInitialReadTimeout = std::chrono::milliseconds{ 1'500 };
 
 /** Interval at which a relay that does not poll the store applies the updates
