--- a/src/admit/ModelGate.cpp
+++ b/src/admit/ModelGate.cpp
@@ -7,7 +7,7 @@
 
 /** Fraction of the limit up to which each priority may fill it, so that more
  * urgent requests are admitted without waiting. A priority below its floor is
- * admitted regardless. */
+ * not held to this. */
 constexpr std::array<double, kPriorityCount> kPriorityCeilings{ 1.0,
                                                                 0.97,
                                                                 0.9 };
