--- a/include/poplartrack/admit/AdmissionPolicy.h
+++ b/include/poplartrack/admit/AdmissionPolicy.h
@@ -31,8 +31,10 @@
   /** The time to the deadline must be at least this multiple of the expected
    * completion time. */
   double deadlineMargin = 1.0;
-  /** Bounds of the retry time that rejected callers receive. */
+  /** Shortest retry time that rejected callers receive. */
   Duration shortestRetryAfter = std::chrono::seconds{ 1 };
+  /** Bound of the least retry time, and of the random window that is added to
+   * it. */
   Duration longestRetryAfter = std::chrono::seconds{ 60 };
   /** Fraction of an account's limit that is split evenly between the entries
    * and needs no grant. */
--- a/include/poplartrack/admit/RetryAfter.h
+++ b/include/poplartrack/admit/RetryAfter.h
@@ -20,8 +20,8 @@
 
   /** Counts an admitted request. */
   void onAdmitted(TimePoint aNow);
-  /** Counts a rejected request and returns its random retry time, at least
-   * aMinimum. */
+  /** Counts a rejected request and returns its random retry time. It is at
+   * least aMinimum, unless that exceeds the policy's longest time. */
   Duration onRefused(Duration aMinimum, TimePoint aNow);
 
 private:
--- a/tests/unit/admit/AccountSharesTest.cpp
+++ b/tests/unit/admit/AccountSharesTest.cpp
@@ -36,7 +36,7 @@
   {
     std::size_t to = 0;
     std::vector<ShareGrant> grants;
-    TimePoint asked{};
+    TimePoint requestedAt{};
     TimePoint arrives{};
   };
 
@@ -70,7 +70,7 @@
   {
     for (const InTransit& one : inTransit) {
       if (one.arrives <= aNow) {
-        entries[one.to].onGrants(one.grants, one.asked);
+        entries[one.to].onGrants(one.grants, one.requestedAt);
       }
     }
     std::erase_if(inTransit, [aNow](const InTransit& aOne) {
@@ -159,10 +159,10 @@
   group.entries[user].onDemand(kAccount, 1, now);
   group.exchange(user, now, Duration{ 0 }, false);
   group.deliver(now);
-  std::vector<std::string> left = group.entryNames;
-  std::erase(left, owner);
+  std::vector<std::string> remaining = group.entryNames;
+  std::erase(remaining, owner);
   for (std::size_t i = 0; i < group.entries.size(); ++i) {
-    group.entries[i].setEntries(group.entryNames[i], left, now);
+    group.entries[i].setEntries(group.entryNames[i], remaining, now);
   }
   for (int i = 0; i < 20; ++i) {
     now += kTick;
@@ -190,11 +190,11 @@
   TimePoint now = kStart + std::chrono::seconds{ 10 };
   const std::string owner = group.entries[0].ownerOf(kAccount);
   const std::size_t user = group.entryNames[0] == owner ? 1 : 0;
-  const std::size_t gone = group.entryNames[7] == owner ? 6 : 7;
-  std::vector<std::string> left = group.entryNames;
-  left.erase(left.begin() + static_cast<std::ptrdiff_t>(gone));
+  const std::size_t removed = group.entryNames[7] == owner ? 6 : 7;
+  std::vector<std::string> remaining = group.entryNames;
+  remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(removed));
   for (std::size_t i = 0; i < group.entries.size(); ++i) {
-    group.entries[i].setEntries(group.entryNames[i], left, now);
+    group.entries[i].setEntries(group.entryNames[i], remaining, now);
   }
   group.entries[user].onDemand(kAccount, 1, now);
   group.exchange(user, now, Duration{ 0 }, false);
--- a/tests/unit/users_platform/UsersStoreTest.cpp
+++ b/tests/unit/users_platform/UsersStoreTest.cpp
@@ -101,9 +101,9 @@
 TEST_F(UsersStoreTest, DroppedHistoryIsDistinguishedFromAnOutage)
 {
   this->standin.faults.forgetHistory = true;
-  const auto gone = this->store.awaitReplicas(1, milliseconds{ 10 });
-  ASSERT_FALSE(gone);
-  EXPECT_EQ(gone.error().kind, ErrorKind::NotFound);
+  const auto dropped = this->store.awaitReplicas(1, milliseconds{ 10 });
+  ASSERT_FALSE(dropped);
+  EXPECT_EQ(dropped.error().kind, ErrorKind::NotFound);
   this->standin.faults.refuseWith = 429;
   const auto refused = this->store.awaitReplicas(1, milliseconds{ 10 });
   ASSERT_FALSE(refused);
