--- a/tests/unit/config/ConfigKeeperTest.cpp
+++ b/tests/unit/config/ConfigKeeperTest.cpp
@@ -27,13 +27,13 @@
 }
 
 RevisionUpdate
-whole(std::uint64_t aRevision)
+wholeUpdate(std::uint64_t aRevision)
 {
   return RevisionUpdate{ 0, aRevision, textOf(aRevision) };
 }
 
 RevisionUpdate
-step(std::uint64_t aFrom)
+stepFrom(std::uint64_t aFrom)
 {
   return updateBetween(textOf(aFrom), textOf(aFrom + 1)).value();
 }
@@ -50,8 +50,8 @@
     return made;
   }
 
-  /** Lets time pass until the keeper wants something. */
-  KeeperFetch await(ConfigKeeper& aKeeper)
+  /** Advances the time until the keeper asks for a read, and returns it. */
+  KeeperFetch awaitFetch(ConfigKeeper& aKeeper)
   {
     for (int i = 0; i < 10; ++i) {
       if (const auto fetch = aKeeper.nextFetch(this->now)) {
@@ -59,43 +59,44 @@
       }
       this->now = std::max(this->now, aKeeper.wakeAt());
     }
-    ADD_FAILURE() << "the keeper wants nothing";
+    ADD_FAILURE() << "the keeper asks for no read";
     return {};
   }
 
-  /** A keeper with that revision in force, from the store. */
-  ConfigKeeper running(std::uint64_t aRevision)
+  /** Returns a keeper that has a revision in force, read from the store. */
+  ConfigKeeper keeperWithRevision(std::uint64_t aRevision)
   {
     ConfigKeeper keeper{ options(), this->now };
-    EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
-    EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(aRevision) }, this->now));
+    EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::StoreText);
+    EXPECT_TRUE(
+      keeper.onFetchFinished(Updates{ wholeUpdate(aRevision) }, this->now));
     return keeper;
   }
 };
 
 /**
- * An entry starts while the store is down. One peer was cut off and is two
- * revisions behind; it answers first. The entry must not put its revision in
- * force before it has heard the other peer.
+ * An entry starts while the store is unavailable. One peer was cut off, is two
+ * revisions behind, and answers first. The entry must not put that revision in
+ * force before the other peer has answered.
  */
-TEST_F(ConfigKeeperTest, aStartInAnOutageTakesTheHighestOfAllPeers)
+TEST_F(ConfigKeeperTest, aStartInAnOutageUsesTheHighestRevisionOfAllPeers)
 {
   ConfigKeeper keeper{ options(), this->now };
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::StoreText);
   keeper.onFetchFinished(fail(ErrorKind::PlatformUnavailable), this->now);
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_FALSE(keeper.onFetchFinished(Updates{ whole(3) }, this->now));
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::Peer);
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ wholeUpdate(3) }, this->now));
   EXPECT_EQ(keeper.revision(), 0U);
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(5) }, this->now));
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::Peer);
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ wholeUpdate(5) }, this->now));
   EXPECT_EQ(keeper.revision(), 5U);
 }
 
-TEST_F(ConfigKeeperTest, hasNoConfigurationUntilSomebodyAnswers)
+TEST_F(ConfigKeeperTest, hasNoConfigurationUntilAFetchSucceeds)
 {
   ConfigKeeper keeper{ options(), this->now };
   for (int i = 0; i < 20; ++i) {
-    this->await(keeper);
+    this->awaitFetch(keeper);
     EXPECT_FALSE(
       keeper.onFetchFinished(fail(ErrorKind::PlatformUnavailable), this->now));
     EXPECT_EQ(keeper.configuration(), nullptr);
@@ -103,73 +104,73 @@
 }
 
 /**
- * A peer answers late with a revision below the one in force, whole. It must
- * be left: a revision in force never goes back.
+ * A peer answers late with the whole text of a revision below the one in
+ * force. The answer must be ignored: the revision in force never decreases.
  */
-TEST_F(ConfigKeeperTest, aLateAnswerNeverTakesTheRevisionBack)
+TEST_F(ConfigKeeperTest, aLateAnswerNeverLowersTheRevision)
 {
-  ConfigKeeper keeper = this->running(7);
+  ConfigKeeper keeper = this->keeperWithRevision(7);
   keeper.onRevisionAnnounced(kPeerA, 9, this->now);
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
-  EXPECT_FALSE(keeper.onFetchFinished(Updates{ whole(6) }, this->now));
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::Peer);
+  EXPECT_FALSE(keeper.onFetchFinished(Updates{ wholeUpdate(6) }, this->now));
   EXPECT_EQ(keeper.revision(), 7U);
   EXPECT_EQ(keeper.counters().staleUpdates, 1U);
 }
 
-TEST_F(ConfigKeeperTest, asksTheSenderFirstAndThenTheStore)
+TEST_F(ConfigKeeperTest, asksTheReportingPeerFirstAndThenTheStore)
 {
-  ConfigKeeper keeper = this->running(1);
+  ConfigKeeper keeper = this->keeperWithRevision(1);
   keeper.onRevisionAnnounced(kPeerB, 2, this->now);
-  const KeeperFetch first = this->await(keeper);
+  const KeeperFetch first = this->awaitFetch(keeper);
   EXPECT_EQ(first.peer, kPeerB);
   EXPECT_EQ(first.have, 1U);
   keeper.onFetchFinished(fail(ErrorKind::Network), this->now);
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreRows);
-  EXPECT_TRUE(keeper.onFetchFinished(Updates{ step(1) }, this->now));
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::StoreRows);
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ stepFrom(1) }, this->now));
   EXPECT_EQ(keeper.revision(), 2U);
 }
 
 /**
- * A step was made from another text than the one in force, so it leads to
- * settings that nobody pushed. The hash shows it; the keeper stays and asks
- * for the whole text.
+ * A step was made from another text than the one in force, so it gives
+ * settings that nobody pushed. The hash detects it; the keeper keeps its
+ * revision and asks for the whole text.
  */
-TEST_F(ConfigKeeperTest, stepsThatLeadElsewhereAreReplacedByTheWholeText)
+TEST_F(ConfigKeeperTest, aWrongStepIsReplacedByTheWholeText)
 {
-  ConfigKeeper keeper = this->running(1);
-  RevisionUpdate wrong = step(1);
+  ConfigKeeper keeper = this->keeperWithRevision(1);
+  RevisionUpdate wrong = stepFrom(1);
   wrong.text.replace(wrong.text.find("62000"), 5, "63000");
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreRows);
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::StoreRows);
   EXPECT_FALSE(keeper.onFetchFinished(Updates{ wrong }, this->now));
   EXPECT_EQ(keeper.revision(), 1U);
-  EXPECT_EQ(this->await(keeper).source, KeeperSource::StoreText);
-  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(2) }, this->now));
+  EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::StoreText);
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ wholeUpdate(2) }, this->now));
 }
 
 /**
- * A revision that this process cannot read (a newer program pushed it) is
- * reported and left; the next good one is taken.
+ * A newer program pushed a revision that this process cannot read. The keeper
+ * reports it and does not apply it; the next valid revision is applied.
  */
-TEST_F(ConfigKeeperTest, aRevisionThatDoesNotCheckIsNeverInForce)
+TEST_F(ConfigKeeperTest, anInvalidRevisionIsNeverInForce)
 {
-  ConfigKeeper keeper = this->running(1);
-  RevisionUpdate bad = whole(2);
+  ConfigKeeper keeper = this->keeperWithRevision(1);
+  RevisionUpdate bad = wholeUpdate(2);
   bad.text.replace(bad.text.find("max_deadline_ms"), 15, "max_deadline_xx");
-  this->await(keeper);
+  this->awaitFetch(keeper);
   EXPECT_FALSE(keeper.onFetchFinished(Updates{ bad }, this->now));
   EXPECT_EQ(keeper.revision(), 1U);
   EXPECT_NE(keeper.lastRefusal().find("revision 2"), std::string::npos);
-  this->await(keeper);
-  EXPECT_TRUE(keeper.onFetchFinished(Updates{ whole(3) }, this->now));
+  this->awaitFetch(keeper);
+  EXPECT_TRUE(keeper.onFetchFinished(Updates{ wholeUpdate(3) }, this->now));
   EXPECT_TRUE(keeper.lastRefusal().empty());
 }
 
-TEST_F(ConfigKeeperTest, bringsAPeerUpByStepsAndAStrangerByTheWhole)
+TEST_F(ConfigKeeperTest, sendsStepsToAPeerBehindAndTheWholeTextToANewOne)
 {
-  ConfigKeeper keeper = this->running(1);
+  ConfigKeeper keeper = this->keeperWithRevision(1);
   for (std::uint64_t i = 1; i < 4; ++i) {
-    this->await(keeper);
-    ASSERT_TRUE(keeper.onFetchFinished(Updates{ step(i) }, this->now));
+    this->awaitFetch(keeper);
+    ASSERT_TRUE(keeper.onFetchFinished(Updates{ stepFrom(i) }, this->now));
   }
   EXPECT_EQ(updateFromText(keeper.updateFor(2)).value().from, 2U);
   EXPECT_EQ(keeper.updateFor(0), textOf(4));
@@ -182,14 +183,14 @@
   made.mayReadStore = false;
   ConfigKeeper keeper{ made, this->now };
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(this->await(keeper).source, KeeperSource::Peer);
+    EXPECT_EQ(this->awaitFetch(keeper).source, KeeperSource::Peer);
     keeper.onFetchFinished(fail(ErrorKind::Network), this->now);
   }
 }
 
-/** One thing that happens to a world of keepers. */
+/** Applies one random event to a simulated set of keepers. */
 void
-happen(KeeperWorld& aWorld)
+applyRandomEvent(KeeperWorld& aWorld)
 {
   const std::size_t process = *rc::gen::inRange<std::size_t>(0, aWorld.size());
   switch (*rc::gen::inRange(0, 8)) {
@@ -215,11 +216,11 @@
 }
 
 /**
- * Pushes, outages, cuts, lost answers and restarts in any order: no process
- * ever has a lower revision in force than before, and once all is well again
- * every process has the newest within the letter's 6 s.
+ * Pushes, outages, partitions, lost answers and restarts come in random order.
+ * No process ever has a lower revision in force than before. Once all faults
+ * end, every process has the newest revision within the required 6 s.
  */
-RC_GTEST_PROP(ConfigKeepers, neverGoBackAndAllConvergeAfterHealing, ())
+RC_GTEST_PROP(ConfigKeepers, neverGoBackAndConvergeAfterTheFaultsEnd, ())
 {
   KeeperWorldOptions options;
   options.entries = *rc::gen::inRange<std::size_t>(1, 5);
@@ -229,7 +230,7 @@
   KeeperWorld world{ options };
   const int steps = *rc::gen::inRange(1, 40);
   for (int i = 0; i < steps; ++i) {
-    happen(world);
+    applyRandomEvent(world);
   }
   RC_ASSERT(!world.wentBack());
   world.setStoreDown(false);
--- a/tests/unit/config/ConfigStoreTest.cpp
+++ b/tests/unit/config/ConfigStoreTest.cpp
@@ -34,14 +34,15 @@
 
 using Platform = standins::PlatformStandin<ManualClock>;
 
-/** The canonical text after an update; the error when it does not apply. */
+/** Returns the canonical text after an update, or the error when it cannot be
+ * applied. */
 Result<std::string>
 applyUpdate(const std::string& aText, const RevisionUpdate& aUpdate)
 {
   RevisionDocument document = RevisionDocument::create(aText).value();
   const Result<Done> applied = document.apply(aUpdate);
   if (!applied) {
-    // Nothing has changed: the document still takes the right step.
+    // A failed update leaves the document unchanged.
     EXPECT_EQ(document.text(), aText);
     return applied.error();
   }
@@ -57,9 +58,9 @@
   ConfigStore<Platform> store{ platform };
   int writes = 0;
 
-  /** Runs once, just before the transaction of the next push: after the two
-   * objects that a push puts first. */
-  void atTransaction(std::function<void()> aHook)
+  /** Runs aHook once, just before the transaction of the next push, which is
+   * its third write: a push puts two objects first. */
+  void beforeTransaction(std::function<void()> aHook)
   {
     this->writes = 0;
     this->platform.onWrite([this, aHook = std::move(aHook)] {
@@ -89,8 +90,8 @@
                         false };
   }
 
-  /** Revision 1: models, limits and accounts by kari. */
-  void first()
+  /** Pushes revision 1: models, limits and accounts by kari. */
+  void pushFirstRevision()
   {
     const auto pushed = this->store.push(
       request("c1", "kari", 0, { kModels, limitsFile(60000), accountFile(1) }));
@@ -105,9 +106,9 @@
   }
 };
 
-TEST_F(ConfigStoreTest, aPushIsReadBackWholeAndAsAStep)
+TEST_F(ConfigStoreTest, aPushIsReadBackAsAWholeTextAndAsAStep)
 {
-  this->first();
+  this->pushFirstRevision();
   const auto pushed = this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(90000), accountFile(1) }));
   ASSERT_TRUE(pushed) << describe(pushed.error());
@@ -132,13 +133,13 @@
 }
 
 /**
- * Two operators edit the same file from revision 1. The second is told which
- * file changed and by whom, and nothing of the second push is in force: the
- * head row is compared before anything is written.
+ * Two operators edit the same file from revision 1. The second gets an error
+ * with the file and the author of the first push. Nothing of the second push is
+ * in force, because the head row is compared before anything is written.
  */
 TEST_F(ConfigStoreTest, theSecondOfTwoOperatorsGetsAConflictWithFileAndAuthor)
 {
-  this->first();
+  this->pushFirstRevision();
   ASSERT_TRUE(this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) })));
   auto late =
@@ -156,20 +157,21 @@
 }
 
 /**
- * A push is frozen between its read of the head and its write; another push
- * lands meanwhile. The late write must not undo it: it fails its comparison
- * and is reported, or, when asked to rebase, is laid over the other's file.
+ * A push is frozen between its read of the head row and its transaction, and
+ * another push commits meanwhile. The late transaction must not undo it: its
+ * compare-and-set fails. The push returns a conflict, or with rebase merges its
+ * files with those of the other push.
  */
-TEST_F(ConfigStoreTest, aFrozenPushNeverUndoesTheOneThatOvertookIt)
+TEST_F(ConfigStoreTest, aFrozenPushNeverUndoesAPushThatCommittedMeanwhile)
 {
-  this->first();
+  this->pushFirstRevision();
   const auto overtake = [this] {
     ASSERT_TRUE(this->store.push(request(
       "c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) })));
   };
   auto slow =
     request("c3", "kari", 1, { kModels, limitsFile(60000), accountFile(9) });
-  this->atTransaction(overtake);
+  this->beforeTransaction(overtake);
   const auto refused = this->store.push(slow);
   ASSERT_FALSE(refused);
   EXPECT_EQ(refused.error().kind, ErrorKind::Conflict);
@@ -186,14 +188,14 @@
 }
 
 /**
- * The transaction takes effect and its answer is lost. The operator must
- * learn that the push is in force, and a repeat must not make a second
- * revision: the change row, written with the head, tells.
+ * The transaction takes effect and its answer is lost. The operator must learn
+ * that the push is in force, and repeating it must not make a second revision.
+ * The change row, written together with the head row, shows both.
  */
-TEST_F(ConfigStoreTest, aLostAnswerIsFoundOut)
+TEST_F(ConfigStoreTest, aPushWhoseAnswerWasLostIsFoundByItsChangeId)
 {
-  this->first();
-  this->atTransaction([this] { this->setFaults({ .loseAfter = 1 }); });
+  this->pushFirstRevision();
+  this->beforeTransaction([this] { this->setFaults({ .loseAfter = 1 }); });
   const auto second =
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) });
   const auto pushed = this->store.push(second);
@@ -205,14 +207,14 @@
 }
 
 /**
- * The transaction is lost each time before it takes effect, and then the
- * platform comes back. The operator is told that it is not known, with the
- * change id; the repeat with that id makes exactly one revision.
+ * The transaction is lost each time before it takes effect; then the platform
+ * is available again. The operator gets an unknown outcome with the change id.
+ * Repeating the push with that id makes exactly one revision.
  */
 TEST_F(ConfigStoreTest, anUnknownPushIsRepeatedUnderItsChangeId)
 {
-  this->first();
-  this->atTransaction([this] { this->setFaults({ .loseBefore = 100 }); });
+  this->pushFirstRevision();
+  this->beforeTransaction([this] { this->setFaults({ .loseBefore = 100 }); });
   const auto second =
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) });
   const auto lost = this->store.push(second);
@@ -225,8 +227,8 @@
 
 TEST_F(ConfigStoreTest, anOutageChangesNothing)
 {
-  this->first();
-  this->atTransaction([this] { this->setFaults({ .outage = true }); });
+  this->pushFirstRevision();
+  this->beforeTransaction([this] { this->setFaults({ .outage = true }); });
   const auto refused = this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) }));
   ASSERT_FALSE(refused);
@@ -235,9 +237,9 @@
   EXPECT_EQ(this->headRevision(), 1U);
 }
 
-TEST_F(ConfigStoreTest, aBadPushIsRefusedWhole)
+TEST_F(ConfigStoreTest, aPushOfInvalidFilesChangesNothing)
 {
-  this->first();
+  this->pushFirstRevision();
   const auto refused = this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(-1), accountFile(1) }));
   ASSERT_FALSE(refused);
@@ -247,7 +249,7 @@
 
 TEST_F(ConfigStoreTest, aRollbackIsANewHigherRevision)
 {
-  this->first();
+  this->pushFirstRevision();
   ASSERT_TRUE(this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(70000), accountFile(1) })));
   const auto back = this->store.rollback(1, request("c3", "kari", 0, {}));
@@ -258,9 +260,9 @@
   EXPECT_EQ(now.value().revision, 3U);
 }
 
-TEST_F(ConfigStoreTest, aPushOfNothingNewMakesNoRevision)
+TEST_F(ConfigStoreTest, aPushOfUnchangedFilesMakesNoRevision)
 {
-  this->first();
+  this->pushFirstRevision();
   const auto same = this->store.push(
     request("c2", "juma", 1, { kModels, limitsFile(60000), accountFile(1) }));
   ASSERT_TRUE(same);
@@ -268,7 +270,7 @@
   EXPECT_EQ(this->headRevision(), 1U);
 }
 
-TEST(RevisionUpdate, joinedStepsLeadToTheLastText)
+TEST(RevisionUpdate, joinedStepsGiveTheLastText)
 {
   ManualClock clock;
   Platform platform{ clock };
@@ -294,7 +296,8 @@
   ASSERT_TRUE(joined);
   EXPECT_EQ(applyUpdate(store.text(1).value(), joined.value()).value(),
             store.text(4).value());
-  // From elsewhere, or out of order: never applied.
+  // Updates are refused if they start at another revision, are out of order, or
+  // do not match their hash.
   EXPECT_EQ(applyUpdate(store.text(2).value(), joined.value()).error().kind,
             ErrorKind::Conflict);
   std::swap(updates[0], updates[1]);
--- a/tests/unit/config/RevisionDocumentTest.cpp
+++ b/tests/unit/config/RevisionDocumentTest.cpp
@@ -8,18 +8,18 @@
 namespace poplartrack {
 namespace {
 
-/** One of a few names, so that entries are changed, removed and added. */
+/** Returns one of four names, so that edits change, remove and add entries. */
 std::string
-someName()
+randomName()
 {
   return "n" + std::to_string(*rc::gen::inRange(0, 4));
 }
 
-/** Changes a configuration in one place. */
+/** Makes one random change to a configuration. */
 void
-edit(Configuration& aConfiguration)
+editRandomly(Configuration& aConfiguration)
 {
-  const std::string name = someName();
+  const std::string name = randomName();
   const auto number = static_cast<std::uint32_t>(*rc::gen::inRange(1, 100));
   switch (*rc::gen::inRange(0, 8)) {
     case 0:
@@ -51,8 +51,9 @@
   }
 }
 
-/** Rebuilding only what the steps name gives what reading it all gives. */
-RC_GTEST_PROP(RevisionDocument, stepsGiveWhatTheWholeTextGives, ())
+/** Rebuilding only the entries that the steps change gives the same
+ * configuration as reading the whole text. */
+RC_GTEST_PROP(RevisionDocument, stepsGiveTheSameAsTheWholeText, ())
 {
   Configuration configuration;
   configuration.revision = 1;
@@ -63,7 +64,7 @@
     const std::string before = toRevisionText(configuration);
     const int edits = *rc::gen::inRange(0, 4);
     for (int j = 0; j < edits; ++j) {
-      edit(configuration);
+      editRandomly(configuration);
     }
     ++configuration.revision;
     const std::string after = toRevisionText(configuration);
@@ -75,7 +76,7 @@
   }
 }
 
-TEST(RevisionDocument, aStepToSettingsThatDoNotCheckChangesNothing)
+TEST(RevisionDocument, aStepToInvalidSettingsChangesNothing)
 {
   Configuration configuration;
   configuration.revision = 1;
