--- a/include/poplartrack/fleet/LinkRate.h
+++ b/include/poplartrack/fleet/LinkRate.h
@@ -4,9 +4,9 @@
 
 namespace poplartrack {
 
-/** Requests per second from which a zone link counts as fast. A token that
- * crosses the link waits behind at most one prompt, 50 ms at this rate, and
- * callers accept several such pauses. */
+/** Requests per second from which a zone link counts as fast. Each prompt then
+ * delays the streams that cross the link by at most 50 ms, and callers accept
+ * several such pauses. */
 constexpr double kFastLinkRequestRate = 20;
 
 /** Returns the requests per second that the link between two zones carries if
--- a/src/fleet/LayerGap.cpp
+++ b/src/fleet/LayerGap.cpp
@@ -132,7 +132,8 @@
 
 /** Assigns a gap to members without layers, as much to each as it has memory
  * for. If there is only one and the gap is too large for it, the neighbours of
- * the gap take the remainder. */
+ * the gap take the remainder. Where several zones share the layers, a member
+ * that can fill a gap of its zone that includes this one fills that instead. */
 void
 LayerPlanner::fillGap(const EngineProfile& aProfile,
                       Group& aGroup,
--- a/src/fleet/PathCosts.cpp
+++ b/src/fleet/PathCosts.cpp
@@ -18,7 +18,7 @@
 constexpr double kReservableShare = 1.0;
 
 /** Fraction of the memory that a started stream may reserve when it moves to
- * another path: without memory there, the stream breaks off. */
+ * another path: its caller loses more than one whose request is refused. */
 constexpr double kReservableShareStarted = 1.2;
 
 } // namespace
--- a/src/fleet/StorePollSchedule.cpp
+++ b/src/fleet/StorePollSchedule.cpp
@@ -19,8 +19,8 @@
 /** Lower bound of the maximum wait while enough peers are known, and the wait
  * per relay. Relays send each other their proofs five times a second. So the
  * waits can grow with the number of relays that poll, and some relay still has
- * a recent proof. The lower bound keeps a few relays from having only a stale
- * proof when the store becomes unavailable. */
+ * a recent proof. The lower bound is short enough that a few relays do not have
+ * only a stale proof when the store becomes unavailable. */
 constexpr Duration kConfigWaitShared = milliseconds{ 2'500 };
 constexpr Duration kConfigWaitPerRelay = milliseconds{ 500 };
 
