--- a/include/poplartrack/fleet/LayerPlanner.h
+++ b/include/poplartrack/fleet/LayerPlanner.h
@@ -30,7 +30,7 @@
    * only after some seconds. */
   Duration gapRepairDelay = std::chrono::milliseconds{ 300 };
   /** Replaces gapRepairDelay while a replica is missing that only the leader
-   * cannot reach: the leader itself may be the one that is partitioned. */
+   * cannot reach: the leader itself may be the one that is cut off. */
   Duration uncertainGapRepairDelay = std::chrono::milliseconds{ 1'500 };
   /** A copy that still lacks layers after this time is partitioned again among
    * its remaining replicas. A crashed replica restarts without layers after 3
--- a/src/fleet/LayerRepair.cpp
+++ b/src/fleet/LayerRepair.cpp
@@ -214,7 +214,7 @@
 
 /** Closes the gaps of a group and assigns layers to its empty replicas. The
  * longer a gap lasts, the more layers may move for it. Shrinks an extended
- * replica if there was no gap and no order is open. */
+ * replica if there was no gap and no member is pending. */
 void
 LayerPlanner::repair(const EngineProfile& aProfile,
                      Group& aGroup,
@@ -261,7 +261,8 @@
 
 /** Partitions the group with the most memory again if some layer is held by no
  * replica at all, however many layers have to move: until then every request is
- * refused. */
+ * refused. If no group can hold all layers, partitions them among all replicas.
+ */
 void
 LayerPlanner::restoreCoverage(const EngineProfile& aProfile,
                               std::vector<Group>& aGroups)
