--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -50,17 +50,16 @@
 RelayLoop::Impl::stallTimeoutOf(const Exchange& aExchange) const
 {
   const bool hasEvents = aExchange.streaming && aExchange.events > 0;
-  const Duration expected =
-    hasEvents
-      ? aExchange.path.perToken * kTokensPerEvent
-      : aExchange.path.firstToken + aExchange.path.perToken * kTokensPerEvent;
+  const Duration expected = hasEvents ? aExchange.path.perToken * kTokensPerEvent
+                                  : aExchange.path.firstToken +
+                                      aExchange.path.perToken * kTokensPerEvent;
   if (this->usesLostReplica(aExchange)) {
-    return aExchange.asking ? kMoveRetryDelay
-                            : std::clamp(expected * kLostPathStallFactor,
-                                         kMinLostPathStallTimeout,
-                                         kMaxStallTimeout);
+    return aExchange.overdue ? kMoveRetryDelay
+                             : std::clamp(expected * kLostPathStallFactor,
+                                          kMinLostPathStallTimeout,
+                                          kMaxStallTimeout);
   }
-  if (aExchange.asking) {
+  if (aExchange.overdue) {
     return kMinReportInterval;
   }
   return std::clamp(
@@ -99,8 +98,8 @@
 RelayLoop::Impl::onStallTimeout(Exchange& aExchange)
 {
   const std::uint64_t id = aExchange.id;
-  aExchange.asking = true;
-  aExchange.askedAt = this->now;
+  aExchange.overdue = true;
+  aExchange.overdueHandledAt = this->now;
   if (this->usesLostReplica(aExchange)) {
     this->repair(aExchange, false);
   } else {
@@ -117,12 +116,12 @@
 void
 RelayLoop::Impl::requestReport(const PathPart& aPart, Duration aMinInterval)
 {
-  const auto lastRequest = this->askedAt.find(aPart.replica);
-  if (lastRequest != this->askedAt.end() &&
+  const auto lastRequest = this->reportRequestedAt.find(aPart.replica);
+  if (lastRequest != this->reportRequestedAt.end() &&
       this->now - lastRequest->second < aMinInterval) {
     return;
   }
-  this->askedAt[aPart.replica] = this->now;
+  this->reportRequestedAt[aPart.replica] = this->now;
   this->shared.metrics.count("replica_questions_total");
   this->calls.queryStatus(
     aPart.address,
@@ -140,7 +139,8 @@
 {
   for (const auto& [id, exchange] : this->exchanges) {
     const auto& parts = exchange->path.parts;
-    if (!exchange->asking || parts.empty() || parts.front().replica != aFirst) {
+    if (!exchange->overdue || parts.empty() ||
+        parts.front().replica != aFirst) {
       continue;
     }
     for (const PathPart& part : parts) {
@@ -211,8 +211,8 @@
 bool
 RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
-  const auto lastRequest = this->askedAt.find(aReplica);
-  return lastRequest != this->askedAt.end() &&
+  const auto lastRequest = this->reportRequestedAt.find(aReplica);
+  return lastRequest != this->reportRequestedAt.end() &&
          std::any_of(this->exchanges.begin(),
                      this->exchanges.end(),
                      [&](const auto& aEntry) {
