--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -83,7 +83,7 @@
       continue;
     }
     for (const CrashReport& report :
-         this->crashWatch.onEnded(replica, this->servedContents, this->now)) {
+         this->crashWatch.onCrashed(replica, this->recentlyServed, this->now)) {
       this->shared.metrics.count("requests_at_ended_replicas_total");
       if (this->crashes.onCrash(report, CrashSource::Own, this->now)) {
         this->beginQuarantine(report.request, true);
@@ -101,7 +101,7 @@
   this->shared.log.write(LogLine{ LogPart::Quarantine, "began" }
                            .with("content", toText(aRequest))
                            .with("own", aOwn ? 1 : 0));
-  if (this->servedContents.lastServed(aRequest, this->now)) {
+  if (this->recentlyServed.lastServed(aRequest, this->now)) {
     const std::size_t earlier = this->trialRank(aRequest);
     this->crashes.allowTrial(aRequest,
                              this->now + kTrialDelay +
@@ -182,7 +182,7 @@
 RelayLoop::Impl::recordServed(Exchange& aExchange)
 {
   const Fingerprint& request = contentFingerprint(aExchange);
-  this->servedContents.onServed(request, this->now);
+  this->recentlyServed.onServed(request, this->now);
   if (this->crashes.onServed(request, this->now)) {
     this->endQuarantine(request);
   }
--- a/tests/unit/retry/RetryBudgetsTest.cpp
+++ b/tests/unit/retry/RetryBudgetsTest.cpp
@@ -16,11 +16,11 @@
   return policy;
 }
 
-TEST(RetryBudgets, CallsOfOneServiceDoNotPayForRetriesAtAnother)
+TEST(RetryBudgets, RequestsForOneServiceEarnNoRetriesAtAnother)
 {
-  // Replicas of the engines fail beside a thousand calls of a plain service.
-  // Counted together these allowed 170 retries at the engines, which had
-  // fifty requests.
+  // Guards against a budget that is shared by services: replicas of the engines
+  // fail while a plain service has a thousand calls. Counted together, they
+  // allowed 170 retries at the engines, which had fifty requests.
   RetryBudgets budgets{ policy() };
   for (int i = 0; i < 1'000; ++i) {
     budgets.of("plain").onRequest(kStart);
@@ -30,18 +30,19 @@
   }
   const TimePoint later = kStart + std::chrono::seconds{ 2 };
   int retries = 0;
-  while (budgets.of("engines").tryRetry(RetryNeed::Started, later)) {
+  while (budgets.of("engines").tryRetry(RetryPriority::Started, later)) {
     ++retries;
   }
   EXPECT_GT(retries, 0);
   EXPECT_LE(retries, 10);
-  EXPECT_TRUE(budgets.of("plain").tryRetry(RetryNeed::Started, later));
+  EXPECT_TRUE(budgets.of("plain").tryRetry(RetryPriority::Started, later));
 }
 
-TEST(RetryBudgets, WhatALifeSpentCountsBesideItsSuccessor)
+TEST(RetryBudgets, RetriesOfAnIncarnationStillCountAfterARestart)
 {
-  // A relay spends the budget and is restarted. Its next process has counted
-  // nothing; under the same name it would have given the budget back.
+  // A relay uses up the budget and is restarted. The new process starts with
+  // zero counts; reported under the same name, they would free the budget
+  // again.
   SharedRetryPolicy slack = policy();
   slack.slack = 100;
   RetryBudgets budgets{ slack };
@@ -49,7 +50,7 @@
   SharedRetryBudget& budget = budgets.of("engines");
   budget.onPeer("10.0.0.1:1/7", RetryCounts{ 0, 100 }, kStart);
   budget.onPeer("10.0.0.1:1/8", RetryCounts{ 0, 0 }, kStart);
-  EXPECT_FALSE(budget.open(RetryNeed::Started, kStart));
+  EXPECT_FALSE(budget.mayRetry(RetryPriority::Started, kStart));
 }
 
 } // namespace
