--- a/benchmark/decisions/Simulation.h
+++ b/benchmark/decisions/Simulation.h
@@ -83,7 +83,7 @@
   Entry makeEntry(Chooser aChooser, std::size_t aIndex)
   {
     AdmissionPolicy policy;
-    policy.firstLimit = 200;
+    policy.initialLimit = 200;
     Entry entry{ std::move(aChooser),
                  AdmissionControl::create(policy, aIndex).value(),
                  RetryBudget(RetryBudgetPolicy{}),
@@ -509,7 +509,7 @@
       }
       EndpointInfo& info = entry.view.endpoints[i];
       info.load = endpoint.report();
-      info.loadHeard = point(now);
+      info.loadReportedAt = point(now);
       if (endpoint.lies) {
         info.load.attempts = 1;
         info.load.queued = 0;
--- a/src/config/SettingRow.cpp
+++ b/src/config/SettingRow.cpp
@@ -36,35 +36,35 @@
               1000,
               "",
               "1",
-              "whole copies that placement keeps at least" },
+              "minimum number of complete copies that placement keeps" },
   SettingRow{ "models.*.max_prompt_tokens",
               Integer,
               1,
               32768,
               "",
               "4096",
-              "longest prompt taken" },
+              "longest prompt accepted, in tokens" },
   SettingRow{ "models.*.max_answer_tokens",
               Integer,
               1,
               32768,
               "",
               "1024",
-              "longest answer given" },
+              "longest answer that may be requested, in tokens" },
   SettingRow{ "models.*.weight",
               Number,
               0,
               1000,
               "",
               "1.0",
-              "worth of one answer, for weighted goodput" },
+              "weight of one answer in the weighted goodput" },
   SettingRow{ "services.*.weight",
               Number,
               0,
               1000,
               "",
               "1.0",
-              "worth of one answer, for weighted goodput" },
+              "weight of one answer in the weighted goodput" },
   SettingRow{ "services.*.operations.*.idempotent",
               Boolean,
               0,
@@ -99,49 +99,49 @@
               3600,
               "",
               "2.0",
-              "seconds of unused limit that may be saved up" },
+              "burst size: how many seconds of unused limit accumulate" },
   SettingRow{ "accounts.*.weight",
               Number,
               0.001,
               1000,
               "",
               "1.0",
-              "share against other accounts under overload" },
+              "share relative to other accounts under overload" },
   SettingRow{ "accounts.*.highest_priority",
               Choice,
               0,
               0,
               "high|normal|low",
               "\"normal\"",
-              "most urgent priority it may ask for" },
+              "highest priority that the account may request" },
   SettingRow{ "priorities.high.floor_share",
               Number,
               0,
               1,
               "",
               "0.0",
-              "part of the capacity that stays with this priority" },
+              "minimum share of the capacity reserved for this priority" },
   SettingRow{ "priorities.normal.floor_share",
               Number,
               0,
               1,
               "",
               "0.0",
-              "part of the capacity that stays with this priority" },
+              "minimum share of the capacity reserved for this priority" },
   SettingRow{ "priorities.low.floor_share",
               Number,
               0,
               1,
               "",
               "0.0",
-              "part of the capacity that stays with this priority" },
+              "minimum share of the capacity reserved for this priority" },
   SettingRow{ "limits.default_deadline_ms",
               Integer,
               1,
               3600000,
               "",
               "30000",
-              "deadline of a request that names none" },
+              "deadline of a request that gives none" },
   SettingRow{ "limits.max_deadline_ms",
               Integer,
               1,
@@ -188,7 +188,7 @@
 }
 
 std::string
-wantedText(const SettingRow& aRow)
+expectedValueText(const SettingRow& aRow)
 {
   switch (aRow.type) {
     case Integer:
@@ -212,12 +212,12 @@
 }
 
 std::string
-toDocLine(const SettingRow& aRow)
+toDocTableRow(const SettingRow& aRow)
 {
-  const std::string fallback =
-    aRow.required() ? "required" : "`" + std::string{ aRow.fallback } + "`";
-  return "| `" + std::string{ aRow.path } + "` | " + wantedText(aRow) + " | " +
-         fallback + " | " + std::string{ aRow.meaning } + " |";
+  const std::string defaultText =
+    aRow.required() ? "required" : "`" + std::string{ aRow.defaultValue } + "`";
+  return "| `" + std::string{ aRow.path } + "` | " + expectedValueText(aRow) +
+         " | " + defaultText + " | " + std::string{ aRow.description } + " |";
 }
 
 } // namespace poplartrack
--- /dev/null
+++ b/src/relay/PeerStatus.h
@@ -0,0 +1,171 @@
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include <msgpack.hpp>
+
+#include "poplartrack/retry/Fingerprint.h"
+
+namespace poplartrack {
+
+/** Format version of PeerStatus; datagrams of other versions are ignored. */
+constexpr std::uint32_t kPeerStatusFormat = 12;
+
+/** The sender's own work in flight at one replica; see ReplicaLoad. */
+struct LoadRow
+{
+  std::string replica;
+  std::uint32_t requests = 0;
+  std::uint32_t tokenLayers = 0;
+  std::uint32_t prefillTokens = 0;
+  std::uint32_t pathStarts = 0;
+  MSGPACK_DEFINE(replica, requests, tokenLayers, prefillTokens, pathStarts);
+};
+
+/** Kilobytes that the sender has sent between two availability zones since its
+ * start. */
+struct LinkRow
+{
+  std::string firstZone;
+  std::string secondZone;
+  std::uint64_t kilobytes = 0;
+  MSGPACK_DEFINE(firstZone, secondZone, kilobytes);
+};
+
+/** The sender's own counts for the retry budget of a service, over the window
+ * of the budget. */
+struct RetryRow
+{
+  std::string service;
+  std::uint32_t requests = 0;
+  std::uint32_t retries = 0;
+  MSGPACK_DEFINE(service, requests, retries);
+};
+
+/** A replica crashed while it ran a request. */
+struct CrashRow
+{
+  Fingerprint request;
+  std::string replica;
+  /** The replica had not begun to run the request, or only just. */
+  bool early = false;
+  MSGPACK_DEFINE(request, replica, early);
+};
+
+/** A quarantined request: relays send it to no replica. */
+struct QuarantineRow
+{
+  Fingerprint request;
+  /** How long it has been quarantined, in microseconds. */
+  std::int64_t age = 0;
+  MSGPACK_DEFINE(request, age);
+};
+
+/** The rate limit that a replica's latest answer to the sender reported. */
+struct LimitRow
+{
+  std::string replica;
+  /** Requests a second from all relays together; negative: no limit any
+   * more. */
+  double perSecond = -1;
+  /** Age of that answer, in microseconds. */
+  std::int64_t age = 0;
+  MSGPACK_DEFINE(replica, perSecond, age);
+};
+
+/** Identifies the latest status message that the sender has received from the
+ * addressee. It follows the PeerStatus in the datagram. The PeerStatus is the
+ * same for every addressee; if it held the echoes for all of them, its size
+ * would grow with the number of relays. */
+struct PeerEcho
+{
+  /** The addressee's incarnation; 0 if it is not a known peer yet. */
+  std::uint64_t incarnation = 0;
+  /** When the addressee sent that message, on the addressee's clock, in
+   * microseconds. */
+  std::int64_t sentAt = 0;
+  MSGPACK_DEFINE(incarnation, sentAt);
+};
+
+/** The status message that each relay sends to every other. */
+struct PeerStatus
+{
+  std::uint32_t format = kPeerStatusFormat;
+  /** Random number of this incarnation of the sender's process. An instance
+   * that takes over its address has another clock. */
+  std::uint64_t incarnation = 0;
+  /** The sender's availability zone. */
+  std::string zone;
+  /** The sender's work in flight, by replica. */
+  std::vector<LoadRow> loads;
+  /** Replicas that are certainly lost: another replica reported that its work
+   * is blocked on them, or their endpoint has restarted. */
+  std::vector<std::string> lost;
+  /** Replicas that are draining or were removed lately, according to the
+   * sender's list. */
+  std::vector<std::string> draining;
+  /** Replicas that the sender cannot reach. The sender may be the one that is
+   * cut off. */
+  std::vector<std::string> unreachable;
+  /** Degraded replicas with their slowdown: how many times longer than declared
+   * their work takes. */
+  std::map<std::string, double> slow;
+  /** When the message was sent, on the sender's clock, in microseconds. */
+  std::int64_t sentAt = 0;
+  /** Version of the sender's configuration; 0 if it has none. */
+  std::uint64_t config = 0;
+  /** Age of the sender's proof that its configuration is the newest, in
+   * microseconds; negative if it never had one. */
+  std::int64_t configAge = -1;
+  /** Version of the latest change in the sender's replica list. */
+  std::uint64_t list = 0;
+  /** The sender is a store reader. */
+  bool polls = false;
+  /** The latest poll of the sender failed. */
+  bool pollsFail = false;
+  /** The sender holds the placement lease. */
+  bool holdsLease = false;
+  /** Counts for the retry budgets, by service. */
+  std::vector<RetryRow> retries;
+  /** Bytes sent over zone links since the start of the sender. */
+  std::vector<LinkRow> links;
+  /** Fencing token of the placement lease that the sender held and released; 0
+   * if none. */
+  std::uint64_t releasedFence = 0;
+  /** Recent crashes of replicas under requests, as known to the sender. */
+  std::vector<CrashRow> crashes;
+  /** The most recently quarantined requests. */
+  std::vector<QuarantineRow> quarantine;
+  /** Requests under which replicas had crashed and that a replica has recently
+   * completed. */
+  std::vector<Fingerprint> served;
+  /** Rate limits of replicas, including those lifted recently. */
+  std::vector<LimitRow> limits;
+  MSGPACK_DEFINE(format,
+                 incarnation,
+                 zone,
+                 loads,
+                 lost,
+                 draining,
+                 unreachable,
+                 slow,
+                 sentAt,
+                 config,
+                 configAge,
+                 list,
+                 polls,
+                 pollsFail,
+                 holdsLease,
+                 retries,
+                 links,
+                 releasedFence,
+                 crashes,
+                 quarantine,
+                 served,
+                 limits);
+};
+
+} // namespace poplartrack
--- /dev/null
+++ b/src/relay/RelayDraining.cpp
@@ -0,0 +1,199 @@
+// Draining replicas: detecting them, and moving their streams before they exit.
+
+#include <algorithm>
+#include <map>
+#include <vector>
+
+#include "RelayLoopImpl.h"
+
+namespace poplartrack {
+namespace {
+
+/** Divisor of the drain time. A draining replica takes no new work and
+ * continues to serve for at least the drain time. Its requests are moved after
+ * half of it, when neighbouring replicas have had time to load its layers. */
+constexpr int kDrainNoticeDivisor = 2;
+
+/** A peer's report of a draining replica expires after this many drain times
+ * without being repeated. By then this relay's list is up to date, or the
+ * replica has exited. */
+constexpr int kDrainReportLifetime = 2;
+
+/** A draining replica is forgotten after this time. By then it has exited. */
+constexpr Duration kDrainingRetention = std::chrono::seconds{ 20 };
+
+/** A stream with at most this expected remaining time is not moved. */
+constexpr Duration kMaxTimeLeftUnmoved = std::chrono::milliseconds{ 1'000 };
+
+/** Maximum number of streams that are moved in one round of regular work. At
+ * five rounds a second, the thirty streams of one relay at a replica are moved
+ * in about one second. */
+constexpr std::size_t kMaxMovesPerRound = 5;
+
+} // namespace
+
+/** Records which replicas have begun to drain or were removed from the list.
+ * Restarted replicas are left out, because their streams are already lost. */
+void
+RelayLoop::Impl::recordDraining(const ReplicaView& aLatest)
+{
+  std::map<std::string, bool> listed;
+  for (const Replica& replica : aLatest.replicas) {
+    listed.emplace(replica.id, replica.draining);
+    if (!replica.draining) {
+      // Its entry had expired while the store was unavailable, and is renewed.
+      this->drainingSince.erase(replica.id);
+    }
+  }
+  for (const Replica& replica : this->view->replicas) {
+    const auto found = listed.find(replica.id);
+    const bool drains = found == listed.end() || found->second;
+    if (drains && !this->restartedReplicas.contains(replica.id)) {
+      this->drainingSince.try_emplace(replica.id, this->now);
+    }
+  }
+  std::erase_if(this->drainingSince, [this](const auto& aEntry) {
+    return this->now - aEntry.second > kDrainingRetention;
+  });
+}
+
+/** Detects replicas whose endpoint is listed with a later start time. */
+void
+RelayLoop::Impl::detectRestarts(const ReplicaView& aLatest)
+{
+  std::map<std::string_view, std::string_view> latest;
+  for (const Replica& replica : aLatest.replicas) {
+    latest.emplace(replica.registeredAs, replica.id);
+  }
+  for (const Replica& replica : this->view->replicas) {
+    const auto found = latest.find(replica.registeredAs);
+    if (found != latest.end() && found->second != replica.id) {
+      this->endIncarnation(replica.id);
+    }
+  }
+}
+
+/**
+ * Handles a restart of the replica's process. All its work is lost, and streams
+ * through it are moved at once. Without this, paths would lead through layers
+ * that the new process does not hold, and streams would stall for 2.5 s until
+ * the other replicas of the path abandon them.
+ */
+void
+RelayLoop::Impl::endIncarnation(const std::string& aReplica)
+{
+  if (!this->restartedReplicas.try_emplace(aReplica, this->now).second) {
+    return;
+  }
+  this->shared.metrics.count("replica_restarts_total");
+  this->shared.log.write(
+    LogLine{ LogPart::Replicas, "restarted" }.with("replica", aReplica));
+  this->drainingSince.erase(aReplica);
+  // Deferred, because the caller may be a request that is choosing its path.
+  this->post([this, aReplica] { this->onFaultyReplica(aReplica); });
+}
+
+/** Returns the replicas that drain or were removed from the list recently. */
+std::set<std::string>
+RelayLoop::Impl::drainingReplicas() const
+{
+  std::set<std::string> draining;
+  for (const auto& [replica, since] : this->drainingSince) {
+    draining.insert(replica);
+  }
+  for (const Replica& replica : this->view->replicas) {
+    if (replica.draining) {
+      draining.insert(replica.id);
+    }
+  }
+  return draining;
+}
+
+/**
+ * Takes over the draining replicas from a relay that has a newer replica list.
+ * This relay's own poll of the list may hang on a connection that has fallen
+ * silent. With a list that was stale for 5 s, a relay sent a request to a plain
+ * replica 3.4 s after that had announced its drain, where the bound is 3 s.
+ */
+void
+RelayLoop::Impl::onPeerDraining(const PeerStatus& aStatus)
+{
+  if (aStatus.list <= this->view->lastChange) {
+    return;
+  }
+  for (const std::string& replica : aStatus.draining) {
+    this->peerDrainReports.insert_or_assign(
+      replica, PeerDrainReport{ aStatus.list, this->now });
+  }
+}
+
+/** Drops the reports that this relay's own list includes, and expired ones. */
+void
+RelayLoop::Impl::expireDrainReports()
+{
+  std::erase_if(this->peerDrainReports, [this](const auto& aEntry) {
+    const PeerDrainReport& report = aEntry.second;
+    return report.list <= this->view->lastChange ||
+           this->now - report.receivedAt >
+             this->settings.drain * kDrainReportLifetime;
+  });
+}
+
+/** Returns whether the replica drains and takes no new work, according to this
+ * relay's list or to a peer with a newer list. */
+bool
+RelayLoop::Impl::isDraining(const Replica& aReplica) const
+{
+  return aReplica.draining || this->peerDrainReports.contains(aReplica.id);
+}
+
+/** Returns whether a stream should be moved: a replica of its path drains and
+ * is expected to exit before the stream ends. */
+bool
+RelayLoop::Impl::usesDrainingReplica(const Exchange& aExchange) const
+{
+  if (!aExchange.streaming || aExchange.connection == 0) {
+    return false;
+  }
+  const auto& parts = aExchange.path.parts;
+  const bool drains =
+    std::any_of(parts.begin(), parts.end(), [this](const PathPart& aPart) {
+      const auto found = this->drainingSince.find(aPart.replica);
+      return found != this->drainingSince.end() &&
+             this->now - found->second >=
+               this->settings.drain / kDrainNoticeDivisor;
+    });
+  const double tokensLeft =
+    aExchange.need.answer - static_cast<double>(aExchange.events) *
+                              static_cast<double>(kTokensPerEvent);
+  const auto remaining = Duration{ static_cast<std::int64_t>(
+    std::max(tokensLeft, 0.0) *
+    static_cast<double>(aExchange.path.perToken.count())) };
+  return drains && remaining > kMaxTimeLeftUnmoved;
+}
+
+/**
+ * Moves streams off draining replicas. A draining replica continues to serve
+ * for some seconds and then exits, which would break off the streams that last
+ * longer. Only a few streams are moved at a time, since each needs a new
+ * prefill at another replica.
+ */
+void
+RelayLoop::Impl::moveOffDraining()
+{
+  if (this->drainingSince.empty()) {
+    return;
+  }
+  std::vector<std::uint64_t> moving;
+  for (const auto& [id, exchange] : this->exchanges) {
+    if (moving.size() < kMaxMovesPerRound &&
+        this->usesDrainingReplica(*exchange)) {
+      moving.push_back(id);
+    }
+  }
+  for (const std::uint64_t id : moving) {
+    this->repair(*this->exchanges.at(id), true);
+  }
+}
+
+} // namespace poplartrack
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -1,4 +1,4 @@
-// Replicas that limit how many requests a second they take.
+// Rate limits that replicas state in their answers, and how relays share them.
 
 #include <charconv>
 #include <cmath>
@@ -8,14 +8,15 @@
 namespace poplartrack {
 namespace {
 
+/** Parses a non-negative finite decimal number; empty if the text is none. */
 std::optional<double>
-decimalIn(std::string_view aText)
+parseDecimal(std::string_view aText)
 {
   double number = 0;
   const char* const end = aText.data() + aText.size();
   const auto [stop, error] = std::from_chars(aText.data(), end, number);
-  const bool whole = error == std::errc{} && stop == end;
-  if (!whole || !std::isfinite(number) || number < 0) {
+  const bool valid = error == std::errc{} && stop == end;
+  if (!valid || !std::isfinite(number) || number < 0) {
     return std::nullopt;
   }
   return number;
@@ -24,61 +25,64 @@
 } // namespace
 
 std::int64_t
-milliOf(double aPerSecond)
+toMilliRate(double aPerSecond)
 {
   constexpr double kMilli = 1'000;
   return static_cast<std::int64_t>(aPerSecond * kMilli);
 }
 
-/** Takes over whether the replica's answer names a limit. Errors and refusals
- * may come without it while it holds. */
+/** Records the rate limit that the replica's answer states, or that there is
+ * none. An answer without the header ends a limit only if it is a success,
+ * since errors and refusals may lack the header while the limit holds. */
 void
-RelayLoop::Impl::noteLimit(Exchange& aExchange, const MessageHead& aHead)
+RelayLoop::Impl::recordRateLimit(Exchange& aExchange, const MessageHead& aHead)
 {
   constexpr int kOk = 200;
-  constexpr int kMultiple = 300;
-  const bool success = aHead.status >= kOk && aHead.status < kMultiple;
+  constexpr int kMultipleChoices = 300;
+  const bool success = aHead.status >= kOk && aHead.status < kMultipleChoices;
   const auto field = aHead.headers.find(this->names.rateLimit);
   if (field) {
-    aExchange.namedLimit = decimalIn(*field);
-    this->shared.metrics.count(aExchange.namedLimit
+    aExchange.reportedLimit = parseDecimal(*field);
+    this->shared.metrics.count(aExchange.reportedLimit
                                  ? "answers_with_limit_total"
                                  : "answers_with_unreadable_limit_total");
   }
-  const Replica* replica = this->replicaOf(aExchange.replica);
-  const bool tells = field ? aExchange.namedLimit.has_value() : success;
-  if (replica == nullptr || !tells ||
+  const Replica* replica = this->replicaById(aExchange.replica);
+  const bool isConclusive =
+    field ? aExchange.reportedLimit.has_value() : success;
+  if (replica == nullptr || !isConclusive ||
       !this->replicaLimits.onAnswer(
-        replica->id, replica->zone, aExchange.namedLimit, this->now)) {
+        replica->id, replica->zone, aExchange.reportedLimit, this->now)) {
     return;
   }
   LogLine line{ LogPart::Replicas,
-                aExchange.namedLimit ? "limits" : "limits_no_more" };
+                aExchange.reportedLimit ? "limits" : "limits_no_more" };
   line.with("replica", replica->id);
-  if (aExchange.namedLimit) {
-    line.with("limit_milli", milliOf(*aExchange.namedLimit));
+  if (aExchange.reportedLimit) {
+    line.with("limit_milli", toMilliRate(*aExchange.reportedLimit));
   }
   this->shared.log.write(line);
-  this->tellPeers(true);
+  this->broadcastStatus(true);
 }
 
-/** Whether a request may go to a replica, as far as it limits them. */
+/** Returns whether this relay's share of the replica's rate limit permits a
+ * request now. */
 bool
 RelayLoop::Impl::takesRequests(const std::string& aReplica)
 {
-  return this->replicaLimits.open(aReplica, this->now);
+  return this->replicaLimits.maySend(aReplica, this->now);
 }
 
-/** Deals the limits out to the relays that are heard. */
+/** Updates the relays that share the limits: all known peers. */
 void
-RelayLoop::Impl::shareLimits()
+RelayLoop::Impl::updateLimitShares()
 {
-  std::vector<LimitSharer> heard;
-  heard.reserve(this->peersHeard.size());
-  for (const auto& [address, peer] : this->peersHeard) {
-    heard.push_back(LimitSharer{ address, peer.zone });
+  std::vector<RateLimitSharer> sharers;
+  sharers.reserve(this->knownPeers.size());
+  for (const auto& [address, peer] : this->knownPeers) {
+    sharers.push_back(RateLimitSharer{ address, peer.zone });
   }
-  this->replicaLimits.setOthers(std::move(heard),
+  this->replicaLimits.setOthers(std::move(sharers),
                                 this->shared.peers.read()->size() + 1);
   this->replicaLimits.expire(this->now);
   this->shared.metrics.set(
@@ -86,29 +90,32 @@
     static_cast<std::int64_t>(this->replicaLimits.limitedCount()));
 }
 
+/** Adds the rate limits that this relay has seen to a status message. */
 void
-RelayLoop::Impl::tellLimits(PeerWord& aWord) const
+RelayLoop::Impl::addLimits(PeerStatus& aStatus) const
 {
-  constexpr double kNone = -1;
-  for (const LimitWord& word : this->replicaLimits.own(this->now)) {
-    aWord.limits.push_back(LimitRow{
-      word.replica, word.perSecond.value_or(kNone), word.age.count() });
+  constexpr double kNoLimit = -1;
+  for (const RateLimitReport& report : this->replicaLimits.own(this->now)) {
+    aStatus.limits.push_back(LimitRow{ report.replica,
+                                       report.perSecond.value_or(kNoLimit),
+                                       report.age.count() });
   }
 }
 
+/** Takes over the rate limits in another relay's status message. */
 void
-RelayLoop::Impl::hearLimits(const PeerWord& aWord)
+RelayLoop::Impl::onPeerLimits(const PeerStatus& aStatus)
 {
-  for (const LimitRow& row : aWord.limits) {
-    const Replica* replica = this->replicaOf(row.replica);
+  for (const LimitRow& row : aStatus.limits) {
+    const Replica* replica = this->replicaById(row.replica);
     if (replica != nullptr) {
-      this->replicaLimits.onPeer(LimitWord{ row.replica,
-                                            row.perSecond < 0
-                                              ? std::optional<double>{}
-                                              : std::optional{ row.perSecond },
-                                            Duration{ row.age } },
-                                 replica->zone,
-                                 this->now);
+      this->replicaLimits.onPeer(
+        RateLimitReport{ row.replica,
+                         row.perSecond < 0 ? std::optional<double>{}
+                                           : std::optional{ row.perSecond },
+                         Duration{ row.age } },
+        replica->zone,
+        this->now);
     }
   }
 }
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -11,45 +11,50 @@
 namespace poplartrack {
 namespace {
 
+/** Keys of the sockets in the poller. kWaitQueueTimerKey is the next one. */
 constexpr std::uint64_t kListenerKey = 1;
 constexpr std::uint64_t kPeersKey = 2;
-constexpr std::uint64_t kFirstId = 16;
+/** First id of a connection or exchange; smaller ones are fixed keys. */
+constexpr std::uint64_t kFirstDynamicId = 16;
 
-/** Logs are flushed, peers told and idle connections looked through this
- * often. Peers' loads are then at most this old, plus one way on the network:
- * a relay starts about 3 requests in that time. */
-constexpr Duration kRegularPause = std::chrono::milliseconds{ 200 };
+/** Interval of runPeriodicTasks, which also sends the status message. The loads
+ * that peers report are at most this old, plus the network delay; a relay
+ * starts about 3 requests in that time. */
+constexpr Duration kPeriodicInterval = std::chrono::milliseconds{ 200 };
 
-/** A relay that told nothing for this long is not heard any more. */
-constexpr Duration kPeerSilence = std::chrono::seconds{ 2 };
+/** A relay that has sent no status message for this long is no longer a known
+ * peer. */
+constexpr Duration kPeerTimeout = std::chrono::seconds{ 2 };
 
-/** A replica whose endpoint has started again is forgotten after this: no relay
- * has an older list by then, and no stream through it is left. */
-constexpr Duration kEndedForgotten = std::chrono::seconds{ 20 };
+/** How long the restart of a replica is remembered. By then no relay has a list
+ * from before the restart, and no stream through the replica is left. */
+constexpr Duration kRestartRecordTtl = std::chrono::seconds{ 20 };
 
-/** Margin between the bound on revoked keys and the age at which a relay stops
- * sending. It covers a store that answers for a second without what was changed
- * meanwhile, as it does before it drops its history. */
+/** Margin between the bound on the use of revoked keys and the age of the
+ * configuration at which a relay stops sending. It covers a store whose answers
+ * lack recent changes for a second, as happens before it drops its history. */
 constexpr Duration kRevokeMargin = std::chrono::milliseconds{ 1'000 };
 
-/** Margin between the deadline for a new configuration and the age at which one
- * is not used any more: the way of a request to its replica, and a store whose
- * clock ran a little late. */
+/** Margin between the deadline for applying a new configuration and the age at
+ * which a relay stops using its own. It covers the time that a request takes to
+ * reach its replica, and a store whose clock is slightly behind. */
 constexpr Duration kConfigMargin = std::chrono::milliseconds{ 300 };
 
+/** Derives the age limits of the configuration from the settings. */
 GatePolicy
 gatePolicy(const RelaySettings& aSettings)
 {
   GatePolicy policy;
-  policy.keyAge = aSettings.strictRevoke
-                    ? std::max(Duration{ 0 }, aSettings.revoke - kRevokeMargin)
-                    : Duration::max();
-  policy.denyAge = aSettings.revoke - kRevokeMargin;
-  policy.configAge = aSettings.configDeadline - kConfigMargin;
+  policy.maxKeyAge =
+    aSettings.strictRevoke
+      ? std::max(Duration{ 0 }, aSettings.revoke - kRevokeMargin)
+      : Duration::max();
+  policy.maxDenyAge = aSettings.revoke - kRevokeMargin;
+  policy.maxConfigAge = aSettings.configDeadline - kConfigMargin;
   return policy;
 }
 
-/** The second tries that all relays have together. */
+/** Returns the retry budget that all relays share. */
 SharedRetryPolicy
 retryPolicy(const RelaySettings& aSettings)
 {
@@ -60,12 +65,14 @@
   return policy;
 }
 
-/** Heartbeats after which the list tells that a replica has ended: it misses
- * three, and the news take a while. */
-constexpr int kHeartbeatsToTell = 4;
+/** Number of heartbeats after which the replica list shows that a replica has
+ * crashed: it is removed after three missed ones, and the update of the list
+ * takes time to arrive. */
+constexpr int kHeartbeatsToReportCrash = 4;
 
-/** Relays of a deployment until their list has been read. */
-constexpr std::size_t kFewRelays = 4;
+/** Smallest number of relays that the retry budgets assume: the list of relays
+ * may not have been read yet. */
+constexpr std::size_t kMinAssumedRelays = 4;
 
 } // namespace
 
@@ -80,12 +87,12 @@
   , calls(std::move(aCalls))
   , gate(gatePolicy(this->settings))
   , poller(std::move(aPoller))
-  , nextId(kFirstId)
+  , nextId(kFirstDynamicId)
   , view(std::make_shared<const ReplicaView>())
   , health(this->settings.heartbeat)
   , budgets(retryPolicy(this->settings))
-  , crashWatch(this->settings.heartbeat * kHeartbeatsToTell)
-  , ownLife(randomRequestId().low)
+  , crashWatch(this->settings.heartbeat * kHeartbeatsToReportCrash)
+  , ownIncarnation(randomRequestId().low)
 {
 }
 
@@ -98,6 +105,7 @@
   }
 }
 
+/** Opens the listener for callers and the socket for datagrams. */
 Result<Done>
 RelayLoop::Impl::listen()
 {
@@ -109,7 +117,7 @@
   if (!bound) {
     return bound.error();
   }
-  this->local = bound.value();
+  this->localCallers = bound.value();
   this->listener = std::move(fd).value();
   this->poller.add(this->listener.get(), kListenerKey, false);
   const Result<Done> peers = this->openPeers();
@@ -124,8 +132,8 @@
 void
 RelayLoop::Impl::start()
 {
-  this->shared.tellList = [this](const ListNews& aNews) {
-    this->post([this, aNews] { this->tellList(aNews); });
+  this->shared.sendListDelta = [this](const ReplicaListDelta& aDelta) {
+    this->post([this, aDelta] { this->sendListDelta(aDelta); });
   };
   this->thread = std::thread([this] { this->run(); });
 }
@@ -140,6 +148,7 @@
   this->poller.wake();
 }
 
+/** Runs the work that other threads, or the loop itself, have posted. */
 void
 RelayLoop::Impl::runPosted()
 {
@@ -148,21 +157,22 @@
     const std::scoped_lock lock{ this->postGuard };
     work.swap(this->posted);
   }
-  for (const auto& one : work) {
-    one();
+  for (const auto& task : work) {
+    task();
   }
 }
 
+/** Runs the event loop until the relay stops. */
 void
 RelayLoop::Impl::run()
 {
   this->now = runtimeNow();
   this->startedAt = this->now;
-  this->regularAt = this->now;
+  this->nextPeriodicAt = this->now;
   while (!this->stopping) {
     const std::optional<TimePoint> timer = this->timers.next();
     const TimePoint until =
-      timer ? std::min(*timer, this->regularAt) : this->regularAt;
+      timer ? std::min(*timer, this->nextPeriodicAt) : this->nextPeriodicAt;
     const auto events = this->poller.wait(this->now, until);
     this->now = runtimeNow();
     this->runPosted();
@@ -172,14 +182,15 @@
     while (const auto key = this->timers.popDue(this->now)) {
       this->onTimer(*key);
     }
-    if (this->now >= this->regularAt) {
-      this->regularWork();
-      this->regularAt = this->now + kRegularPause;
+    if (this->now >= this->nextPeriodicAt) {
+      this->runPeriodicTasks();
+      this->nextPeriodicAt = this->now + kPeriodicInterval;
     }
   }
   this->shared.log.flush();
 }
 
+/** Dispatches an event of the poller by its key. */
 void
 RelayLoop::Impl::onEvent(const ReadyEvent& aEvent)
 {
@@ -196,7 +207,7 @@
     if (aEvent.writable && caller->second->watchesWrite) {
       this->flushCaller(*caller->second);
     }
-    // The flush may have closed it.
+    // The flush may have closed the connection.
     const auto still = this->callers.find(aEvent.key);
     if (aEvent.readable && still != this->callers.end()) {
       this->onCallerReadable(*still->second);
@@ -209,11 +220,13 @@
   }
 }
 
+/** Dispatches a timer that has expired: of the wait queue, an exchange or a
+ * caller. */
 void
 RelayLoop::Impl::onTimer(std::uint64_t aKey)
 {
-  if (aKey == kWaitingKey) {
-    this->tryWaiting();
+  if (aKey == kWaitQueueTimerKey) {
+    this->dispatchWaiting();
     return;
   }
   if (const auto exchange = this->exchanges.find(aKey);
@@ -227,6 +240,8 @@
   }
 }
 
+/** Switches to the latest replica list and drops what is kept for replicas that
+ * are no longer listed. */
 void
 RelayLoop::Impl::refreshReplicas()
 {
@@ -234,39 +249,45 @@
   if (latest == this->view) {
     return;
   }
-  this->noteRestarted(*latest);
-  this->noteLeaving(*latest);
+  this->detectRestarts(*latest);
+  this->recordDraining(*latest);
   this->view = latest;
-  this->expireLeavingHeard();
+  this->expireDrainReports();
   std::set<std::string> listed;
   for (const Replica& replica : latest->replicas) {
     listed.insert(replica.id);
   }
   this->health.keepOnly(listed);
   this->replicaLimits.keepOnly(listed);
-  std::erase_if(this->askedAt, [&](const auto& aEntry) {
+  std::erase_if(this->reportRequestedAt, [&](const auto& aEntry) {
     return !listed.contains(aEntry.first);
   });
   this->confirmCrashes();
 }
 
+/**
+ * Updates the shared map of lost replicas. For each replica, it says whether
+ * the loss is certain; a replica that only this relay cannot reach is not
+ * certainly lost. Replicas that are slow, or have restarted, count as lost.
+ * When an entry is added or changes, the other relays are informed at once.
+ */
 void
-RelayLoop::Impl::publishLost()
+RelayLoop::Impl::publishLostReplicas()
 {
   RelayShared::LostReplicas lost;
-  for (const std::string& replica : this->health.lost(this->now)) {
+  for (const std::string& replica : this->health.deadReplicas(this->now)) {
     lost.emplace(replica, false);
   }
-  for (const std::string& replica : this->health.named(this->now)) {
+  for (const std::string& replica : this->health.blockedOn(this->now)) {
     lost.insert_or_assign(replica, true);
   }
-  for (const auto& [replica, pace] : this->health.crippled()) {
+  for (const auto& [replica, pace] : this->health.degraded()) {
     lost.insert_or_assign(replica, true);
   }
   for (const std::string& replica : this->reports.slow()) {
     lost.insert_or_assign(replica, true);
   }
-  for (const auto& [replica, since] : this->ended) {
+  for (const auto& [replica, since] : this->restartedReplicas) {
     lost.insert_or_assign(replica, true);
   }
   for (const std::string& replica : this->reports.suspects()) {
@@ -274,37 +295,39 @@
       lost.insert_or_assign(replica, true);
     }
   }
-  const auto before = this->shared.lost.read();
+  const auto before = this->shared.lostReplicas.read();
   if (*before == lost) {
     return;
   }
-  this->shared.lost.replace(
+  this->shared.lostReplicas.replace(
     std::make_shared<const RelayShared::LostReplicas>(lost));
-  bool news = false;
+  bool changed = false;
   for (const auto& [replica, certain] : lost) {
     const auto known = before->find(replica);
     if (known != before->end() && known->second == certain) {
       continue;
     }
-    news = true;
+    changed = true;
     this->shared.log.write(LogLine{ LogPart::Replicas, "lost" }
                              .with("replica", replica)
                              .with("named", certain ? 1 : 0));
     if (certain) {
-      this->hurryThrough(replica);
+      this->rearmStallTimers(replica);
     }
   }
-  if (news) {
-    // The next word would come after 200 ms; the streams of the other relays
-    // stand still meanwhile.
-    this->tellPeers(true);
+  if (changed) {
+    // The next periodic status message is up to 200 ms away. The streams of the
+    // other relays through the lost replica would stall until then.
+    this->broadcastStatus(true);
   }
 }
 
+/** Publishes which replicas have requests of any relay in flight. Only the
+ * holder of the placement lease needs to know. */
 void
-RelayLoop::Impl::publishBusy()
+RelayLoop::Impl::publishBusyReplicas()
 {
-  if (!this->shared.leads) {
+  if (!this->shared.holdsLease) {
     return;
   }
   std::set<std::string> busy;
@@ -313,41 +336,45 @@
       busy.insert(replica.id);
     }
   }
-  this->shared.busy.replace(
+  this->shared.busyReplicas.replace(
     std::make_shared<const std::set<std::string>>(std::move(busy)));
 }
 
+/** Expires old state, publishes what other threads need, checks slow and
+ * draining replicas, sends the status message and closes expired idle
+ * connections. Sets the metrics once a second. */
 void
-RelayLoop::Impl::regularWork()
+RelayLoop::Impl::runPeriodicTasks()
 {
-  constexpr std::uint32_t kSecondOf = 5;
+  constexpr std::uint32_t kRunsPerSecond = 5;
   this->refreshReplicas();
   this->loads.expirePeers(this->now);
-  std::erase_if(this->peersHeard, [this](const auto& aEntry) {
-    const bool silent = this->now - aEntry.second.heard > kPeerSilence;
+  std::erase_if(this->knownPeers, [this](const auto& aEntry) {
+    const bool silent = this->now - aEntry.second.receivedAt > kPeerTimeout;
     if (silent) {
-      this->pipes.forget(lifeName(aEntry.first, aEntry.second.echo.life));
+      this->links.forget(
+        incarnationName(aEntry.first, aEntry.second.echo.incarnation));
     }
     return silent;
   });
-  this->shareLimits();
-  this->chooseReaders();
+  this->updateLimitShares();
+  this->updateStorePolling();
   this->reports.expire(this->now);
-  this->expireLeavingHeard();
-  std::erase_if(this->ended, [this](const auto& aEntry) {
-    return this->now - aEntry.second > kEndedForgotten;
+  this->expireDrainReports();
+  std::erase_if(this->restartedReplicas, [this](const auto& aEntry) {
+    return this->now - aEntry.second > kRestartRecordTtl;
   });
-  this->publishLost();
+  this->publishLostReplicas();
   this->refreshQuarantine();
-  this->publishBusy();
+  this->publishBusyReplicas();
   this->budgets.setRelays(
-    std::max(this->shared.peers.read()->size() + 1, kFewRelays));
-  this->askSlowOnes();
-  this->moveOffLeaving();
-  this->tellPeers(false);
-  this->closeStaleIdle(this->now);
+    std::max(this->shared.peers.read()->size() + 1, kMinAssumedRelays));
+  this->requestSlowReplicaReports();
+  this->moveOffDraining();
+  this->broadcastStatus(false);
+  this->closeExpiredIdle(this->now);
   this->shared.log.flush();
-  if (this->regularCount++ % kSecondOf == 0) {
+  if (this->periodicRuns++ % kRunsPerSecond == 0) {
     Metrics& metrics = this->shared.metrics;
     metrics.set("callers_open",
                 static_cast<std::int64_t>(this->callers.size()));
--- a/tests/unit/fleet/FleetSamples.h
+++ b/tests/unit/fleet/FleetSamples.h
@@ -9,8 +9,8 @@
 
 namespace poplartrack::fleettest {
 
-/** A model of 20 layers on two kinds of accelerators; a token takes 0.01 MB a
- * layer. */
+/** Returns a model of 20 layers on two kinds of accelerators; a token takes
+ * 0.01 MB per layer. */
 inline EngineProfile
 smallProfile()
 {
@@ -21,11 +21,11 @@
   profile.tokenBytes = 2e5;
   profile.stepMs = 1;
   profile.perRequestMs = 0.01;
-  profile.readPerSecond = 100'000;
+  profile.prefillPerSecond = 100'000;
   profile.activationBytes = 20'000;
-  profile.pipeMbps = 8'000;
-  profile.usualPrompt = 800;
-  profile.usualAnswer = 200;
+  profile.linkMbps = 8'000;
+  profile.meanPromptTokens = 800;
+  profile.meanAnswerTokens = 200;
   profile.loadTime = std::chrono::seconds{ 10 };
   profile.kinds["fast"] = AcceleratorKind{ 1'600, 2, 2 };
   profile.kinds["slow"] = AcceleratorKind{ 1'000, 10, 10 };
@@ -33,6 +33,7 @@
   return profile;
 }
 
+/** Returns a replica without layers. */
 inline Replica
 replicaOf(const std::string& aId,
           const std::string& aZone,
@@ -49,6 +50,7 @@
   return replica;
 }
 
+/** Returns a slow replica that holds some layers. */
 inline Replica
 holding(const std::string& aId, const std::string& aZone, LayerRange aLayers)
 {
@@ -57,12 +59,12 @@
   return replica;
 }
 
-/** Whether the path runs each layer once and in order, names no replica twice,
- * and each part is held. */
+/** Returns whether the path runs each layer once and in order, names no replica
+ * twice, and names only replicas that hold their parts. */
 inline bool
-isProper(const LayerPath& aPath,
-         const std::vector<Replica>& aReplicas,
-         std::uint32_t aLayers)
+isValidPath(const LayerPath& aPath,
+            const std::vector<Replica>& aReplicas,
+            std::uint32_t aLayers)
 {
   std::uint32_t next = 0;
   std::vector<std::string> named;
--- a/tests/unit/relay/EventSplitterTest.cpp
+++ b/tests/unit/relay/EventSplitterTest.cpp
@@ -7,19 +7,19 @@
 namespace poplartrack {
 namespace {
 
-TEST(EventSplitter, KeepsAnUnfinishedEventBack)
+TEST(EventSplitter, HoldsBackAnIncompleteEvent)
 {
   EventSplitter splitter;
   const auto events = splitter.feed("id: 7\ndata: a\n\nid: 8\nda");
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].id, 7U);
   EXPECT_EQ(events[0].bytes, "id: 7\ndata: a\n\n");
-  EXPECT_TRUE(splitter.inside());
+  EXPECT_TRUE(splitter.hasPartialEvent());
   EXPECT_EQ(splitter.feed("ta: b\n\n").front().id, 8U);
-  EXPECT_FALSE(splitter.inside());
+  EXPECT_FALSE(splitter.hasPartialEvent());
 }
 
-TEST(EventSplitter, EventsWithoutAnIdAreWholeToo)
+TEST(EventSplitter, AnEventNeedsNoId)
 {
   EventSplitter splitter;
   const auto events = splitter.feed("version: 3\ndata: x\r\n\r\n");
@@ -28,7 +28,7 @@
 }
 
 RC_GTEST_PROP(EventSplitter,
-              GivesTheSameEventsWhereverTheBytesAreCut,
+              SplitsIndependentlyOfReadBoundaries,
               (const std::vector<std::uint8_t>& aCuts))
 {
   std::string text;
--- a/tests/unit/relay/RelayLoopTest.cpp
+++ b/tests/unit/relay/RelayLoopTest.cpp
@@ -22,11 +22,11 @@
   RawListener two;
 };
 
-TEST_F(RelayLoopTest, ForwardsARequestAndItsAnswerWhole)
+TEST_F(RelayLoopTest, ForwardsARequestAndItsAnswer)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/once/x?q=1", "id-1", "X-Account: forged\r\nX-Other: kept\r\n", "body");
   RawSocket replica = this->one.accept();
   const std::string got = replica.readUntil("body");
@@ -34,7 +34,8 @@
   EXPECT_TRUE(has(got, "X-Id: id-1\r\n"));
   EXPECT_TRUE(has(got, "X-Other: kept\r\n"));
   EXPECT_TRUE(has(got, "X-Expect: one\r\n"));
-  // The account is the key's, whatever the caller says; the key stays here.
+  // The relay derives the account from the API key, whatever the caller sends,
+  // and does not forward the key.
   EXPECT_TRUE(has(got, "X-Account: shop\r\n"));
   EXPECT_FALSE(has(got, "forged"));
   EXPECT_FALSE(has(got, "secret"));
@@ -46,11 +47,11 @@
 
 TEST_F(RelayLoopTest, ARequestRightAfterTheStartWaitsForTheConfiguration)
 {
-  // All relays died and start again. The caller's one return comes before this
-  // one has read the configuration: it is served some ms later, not refused.
+  // After all relays crashed, callers retry once, possibly before a restarted
+  // relay has read the configuration. The request must wait, not be refused.
   this->world.addReplica("one", "plain", this->one.address());
-  this->world.startBlind();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  this->world.startLoop();
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   this->world.publishConfig();
   this->world.publishReplicas(1);
   RawSocket replica = this->one.accept();
@@ -59,14 +60,14 @@
   EXPECT_TRUE(caller.readUntil("hello").starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
-TEST_F(RelayLoopTest, ARefusedCallerIsToldWhenToComeBack)
+TEST_F(RelayLoopTest, ARefusalAdvisesWhenToRetry)
 {
-  // The configuration is too old to tell whether the key holds, and no other
-  // relay is heard. The caller has 9 s: it is told to wait for up to a third.
+  // The configuration is too old to trust the key, and no other relay is known.
+  // The caller has 9 s, so the advised delay is up to a third of that.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 60 });
   RawSocket caller =
-    this->world.callerOf("/once/x", "id-1", "X-Deadline: 9000\r\n");
+    this->world.sendRequest("/once/x", "id-1", "X-Deadline: 9000\r\n");
   const std::string answer = caller.readUntil("\r\n\r\n");
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503 "));
   const std::size_t at = answer.find("Retry-After: ");
@@ -76,13 +77,13 @@
   EXPECT_LE(seconds, 3.0);
 }
 
-TEST_F(RelayLoopTest, ALateAnswerToAnotherRequestIsNeverTheCallers)
+TEST_F(RelayLoopTest, ALateAnswerToAnotherRequestIsDiscarded)
 {
-  // The replica answers an earlier request a second time, where the answer to
-  // this one is due. The caller must get its own answer and nothing else.
+  // The replica repeats its answer to an earlier request before it answers this
+  // one. The caller must receive only its own answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-2");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-2");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::answer("id-1", "other") +
@@ -91,13 +92,13 @@
   EXPECT_FALSE(has(answer, "other"));
 }
 
-TEST_F(RelayLoopTest, BytesBehindAnAnswerEndItsConnection)
+TEST_F(RelayLoopTest, BytesAfterAnAnswerCloseItsConnection)
 {
-  // A second answer comes behind the first. The next request must not meet it:
-  // it goes out on a new connection.
+  // The replica sends a second answer after the first. The next request must
+  // use a new connection, or its caller would receive that answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/again/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/again/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::answer("id-1", "own") +
@@ -110,27 +111,28 @@
   EXPECT_FALSE(has(caller.readUntil("own again"), "second"));
 }
 
-TEST_F(RelayLoopTest, AConnectionLostUnderANonIdempotentRequestIsNotRepeated)
+TEST_F(RelayLoopTest,
+       ANonIdempotentRequestIsNotRepeatedAfterItsConnectionIsLost)
 {
-  // The replica closes the connection once it has read the request: it may
-  // have run. The caller must not be told that it has not, and nobody else may
-  // run it.
+  // The replica closes the connection after it has read the request, which may
+  // therefore have run. The error must not say that it has not run, and no
+  // other replica may receive it.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.close();
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "502 Bad Gateway"));
 }
 
-TEST_F(RelayLoopTest, AnIdempotentRequestIsTriedElsewhereOnce)
+TEST_F(RelayLoopTest, AnIdempotentRequestIsRetriedOnceAtAnotherReplica)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/again/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/again/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.close();
@@ -140,12 +142,12 @@
   EXPECT_TRUE(has(caller.readUntil("done"), "200 OK"));
 }
 
-TEST_F(RelayLoopTest, WhatAReplicaRefusedWithoutRunningItGoesElsewhere)
+TEST_F(RelayLoopTest, ARequestRefusedAsNotRunIsSentToAnotherReplica)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.addReplica("two", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::answer(
@@ -156,11 +158,11 @@
   EXPECT_TRUE(has(caller.readUntil("done"), "200 OK"));
 }
 
-TEST_F(RelayLoopTest, ASuccessWithoutAReplicasStampIsNoSuccess)
+TEST_F(RelayLoopTest, ASuccessWithoutAReplicasStampIsAnError)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::answer("id-1", "spoiled", "200 OK", ""));
@@ -169,13 +171,13 @@
   EXPECT_FALSE(has(answer, "spoiled"));
 }
 
-TEST_F(RelayLoopTest, AnAnswerThatIsCutOffDoesNotLookWhole)
+TEST_F(RelayLoopTest, ATruncatedAnswerIsAnError)
 {
-  // The replica's answer names no length and its connection is reset: the
-  // caller must not take what has come for the whole.
+  // The connection ends before the announced length of the answer. The caller
+  // must not take the part for the complete answer.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send("HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s\r\n"
@@ -188,7 +190,7 @@
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send("HTTP/1.1 200 OK\r\nX-Id: id-1\r\nX-Stamp: s\r\n\r\nwhole");
@@ -196,15 +198,15 @@
   EXPECT_TRUE(has(caller.readUntil("whole"), "Content-Length: 5\r\n"));
 }
 
-TEST_F(RelayLoopTest, AStreamGoesOnElsewhereAfterItsLastWholeEvent)
+TEST_F(RelayLoopTest, AStreamResumesElsewhereAfterItsLastCompleteEvent)
 {
-  // The first replica dies in the middle of event 3. The caller gets each
-  // event once and in order, and never part of one.
+  // The first replica crashes in the middle of event 3. The caller must receive
+  // each event once, in order and complete.
   this->world.addReplica("one", "model", this->one.address());
   this->world.addReplica("two", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket first = this->one.accept();
   const std::string request = first.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(request, "X-Path: "));
@@ -221,17 +223,17 @@
   EXPECT_FALSE(has(rest, "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamIsMovedOffAReplicaThatLeaves)
+TEST_F(RelayLoopTest, AStreamIsMovedOffADrainingReplica)
 {
-  // The replica says that it leaves and will end within seconds, while a long
-  // stream runs there. The caller's stream goes on elsewhere before that, and
-  // nothing of it is lost.
+  // The replica starts to drain, and will exit within seconds, while it runs a
+  // long stream. The stream must resume at another replica before that, without
+  // losing an event.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/stream/x",
-                                          "id-1",
-                                          "X-Tokens: 5,50000\r\n"
-                                          "X-Hint: 50000\r\n");
+  RawSocket caller = this->world.sendRequest("/stream/x",
+                                             "id-1",
+                                             "X-Tokens: 5,50000\r\n"
+                                             "X-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -246,17 +248,17 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamWhosePlannedMoveIsRefusedGoesOnWhereItIs)
+TEST_F(RelayLoopTest, AStreamWhosePlannedMoveIsRefusedStaysWhereItIs)
 {
-  // A part of a stream's path says that it leaves. The first replica refuses
-  // the new path, since its part has no room. Nothing has failed yet: the
-  // caller gets the rest from where the stream runs.
+  // The second replica of a stream's path starts to drain, and the first one
+  // refuses the new path because a part of it has no memory left. Nothing has
+  // failed, so the stream must continue on its old path.
   this->world.addReplica("one", "model", this->one.address());
   this->world.addReplica("two", "model", this->two.address());
   this->world.replicas["one"].layers = LayerRange{ 0, 5 };
   this->world.replicas["two"].layers = LayerRange{ 5, 10 };
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/stream/x", "id-1", "X-Tokens: 5,50000\r\nX-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
@@ -266,7 +268,7 @@
   this->world.replicas["three"].layers = LayerRange{ 5, 10 };
   this->world.replicas["two"].draining = true;
   this->world.publishReplicas(2);
-  // Two refusals: the first one has been taken in by then.
+  // When the second order arrives, the relay has handled the first refusal.
   while (this->world.repaths < 2) {
     std::this_thread::yield();
   }
@@ -274,18 +276,17 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamStaysAtALeavingReplicaWhileThereIsNoRetry)
+TEST_F(RelayLoopTest, AStreamStaysAtADrainingReplicaWithoutRetryBudget)
 {
-  // The first replica of a long stream says that it leaves, and serves on. All
-  // retries have been spent. Another replica has a whole copy, but taking the
-  // stream there would be one more: the caller gets the rest from where it
-  // runs.
+  // The first replica of a long stream drains and still serves. Another replica
+  // holds all layers, but resuming there counts as a retry and the retry budget
+  // is used up. The stream must continue where it runs.
   this->world.drain = Duration{ 0 };
   this->world.retryRatio = 0;
   this->world.retrySlack = 0;
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf(
+  RawSocket caller = this->world.sendRequest(
     "/stream/x", "id-1", "X-Tokens: 5,50000\r\nX-Hint: 50000\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
@@ -304,16 +305,16 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, AStreamGoesOnElsewhereWhenItsReplicaHasStartedAgain)
+TEST_F(RelayLoopTest, AStreamResumesElsewhereWhenItsReplicaHasRestarted)
 {
-  // The replica of a stream dies without a word and starts again under its
-  // name; the list shows the new start, which holds nothing. The connection is
-  // silent, and nobody names the old start as lost. The caller gets the rest of
-  // its stream from another replica, after the last event that it has.
+  // The replica of a stream crashes without closing its connection and restarts
+  // under its name; the list shows the new incarnation, which has no layers. No
+  // relay or replica reports the old one as lost. The stream must resume at
+  // another replica after the last event that the caller has.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket first = this->one.accept();
   first.readUntil("\r\n\r\n");
   first.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -328,14 +329,14 @@
   EXPECT_TRUE(has(caller.readUntil("0\r\n\r\n"), "id: 2"));
 }
 
-TEST_F(RelayLoopTest, ARequestAtAReplicaThatHasStartedAgainIsNotCalledNotRun)
+TEST_F(RelayLoopTest, ARequestAtARestartedReplicaHasAnUnknownOutcome)
 {
-  // A request that must not run twice is at a replica that starts again under
-  // its name. It may have run there: the caller hears at once that this is not
-  // known, and the new start is not sent it.
+  // A replica restarts under its name while it has a request that must not run
+  // twice. The request may have run there: the caller must learn at once that
+  // the outcome is unknown, and the new incarnation must not receive it.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   this->world.restartReplica("one");
@@ -343,25 +344,25 @@
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "502 Bad Gateway"));
 }
 
-TEST_F(RelayLoopTest, ARestartedReplicaIsAskedForByItsRegisteredName)
+TEST_F(RelayLoopTest, ARestartedReplicaIsAddressedByItsRegisteredName)
 {
-  // The new start is another replica in all that is known of it, but answers
-  // only to the name under which it is registered.
+  // The new incarnation has a replica id of its own, but accepts only requests
+  // for the name under which it is registered.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.restartReplica("one");
   this->world.start();
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   RawSocket replica = this->one.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: one\r\n"));
 }
 
-TEST_F(RelayLoopTest, AStreamWithoutAnotherReplicaIsCutNotEnded)
+TEST_F(RelayLoopTest, AStreamThatCannotResumeIsCutNotCompleted)
 {
   this->world.addReplica("one", "model", this->one.address());
   this->world.config->routes["shop.example"][2].resumable = false;
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   replica.send(RelayWorld::streamHead("id-1") + RelayWorld::event(1));
@@ -370,41 +371,42 @@
   EXPECT_FALSE(has(caller.readToEnd(), "0\r\n\r\n"));
 }
 
-TEST_F(RelayLoopTest, ACallerThatLeavesEndsTheReplicasWork)
+TEST_F(RelayLoopTest, ACallerThatDisconnectsStopsTheReplicasWork)
 {
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
+    this->world.sendRequest("/stream/x", "id-1", "X-Tokens: 5,5\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   caller.close();
-  // Returns only because the relay closes its side.
+  // This returns only when the relay closes its side.
   EXPECT_EQ(replica.readToEnd(), "");
 }
 
-TEST_F(RelayLoopTest, ARequestWhoseCallerLeftWhileTheRelayWasBehindIsNotSentOn)
+TEST_F(RelayLoopTest,
+       ARequestWhoseCallerDisconnectedWhileTheRelayLaggedIsNotSent)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
-  std::promise<void> behind;
-  std::promise<void> goesOn;
-  this->world.loop->post([&behind, &goesOn] {
-    behind.set_value();
-    goesOn.get_future().wait();
+  std::promise<void> blocked;
+  std::promise<void> resume;
+  this->world.loop->post([&blocked, &resume] {
+    blocked.set_value();
+    resume.get_future().wait();
   });
-  behind.get_future().wait();
-  this->world.callerOf("/once/x", "id-1").close();
-  goesOn.set_value();
-  RawSocket caller = this->world.callerOf("/once/x", "id-2");
+  blocked.get_future().wait();
+  this->world.sendRequest("/once/x", "id-1").close();
+  resume.set_value();
+  RawSocket caller = this->world.sendRequest("/once/x", "id-2");
   RawSocket replica = this->one.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Id: id-2\r\n"));
 }
 
-TEST_F(RelayLoopTest, AnEarlyAnswerToALongBodyEndsItsConnection)
+TEST_F(RelayLoopTest, AnEarlyAnswerToALongBodyClosesItsConnection)
 {
-  // The replica answers after the head and would read on: the next request's
-  // bytes would be taken for the rest of this body.
+  // The replica answers before it has read the body. On the same connection, it
+  // would take the next request for the rest of this body.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.config->limits.bodyBytes = 64U << 20U;
   this->world.start();
@@ -426,11 +428,11 @@
 
 TEST_F(RelayLoopTest, AKeyIsNotTrustedOnceTheConfigurationMayHaveChanged)
 {
-  // The relay has been cut off from the store for longer than a revoked key
-  // may live. The caller is told to come back, not that its key is wrong.
+  // The relay has been cut off from the store for longer than a revoked key may
+  // be accepted. The error must advise a retry, not call the key wrong.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start(std::chrono::seconds{ 10 });
-  RawSocket caller = this->world.callerOf("/once/x", "id-1");
+  RawSocket caller = this->world.sendRequest("/once/x", "id-1");
   const std::string answer = caller.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(answer, "503 Service Unavailable"));
   EXPECT_TRUE(has(answer, "Retry-After: "));
@@ -440,24 +442,24 @@
 {
   this->world.start();
   this->world.shared.config.replace(nullptr);
-  RawSocket caller = this->world.callerOf("/unknown/", "id-1");
+  RawSocket caller = this->world.sendRequest("/unknown/", "id-1");
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "503 Service Unavailable"));
 }
 
 TEST_F(RelayLoopTest, DeniesWhatTheConfigurationDoesNotAllow)
 {
   this->world.start();
-  RawSocket caller = this->world.callerOf("/unknown/", "id-1");
+  RawSocket caller = this->world.sendRequest("/unknown/", "id-1");
   EXPECT_TRUE(has(caller.readUntil("}\n"), "404 Not Found"));
   caller.send("GET /once/ HTTP/1.1\r\nHost: shop.example\r\nX-Id: id-2\r\n"
               "X-Key: wrong\r\n\r\n");
   EXPECT_TRUE(has(caller.readUntil("}\n"), "401 Unauthorized"));
 }
 
-TEST_F(RelayLoopTest, AHiddenSecondRequestReachesNobody)
+TEST_F(RelayLoopTest, ASmuggledRequestIsRejected)
 {
-  // Two framings in one head: what one reader takes for the body, another
-  // takes for a request.
+  // Request smuggling: with both Content-Length and chunked encoding, one
+  // parser takes for the body what another takes for a second request.
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller = this->world.caller();
@@ -467,22 +469,22 @@
   EXPECT_TRUE(has(caller.readToEnd(), "400 Bad Request"));
 }
 
-TEST_F(RelayLoopTest, TellsACallerWhichBoundItsRequestBroke)
+TEST_F(RelayLoopTest, ReportsWhichLimitARequestExceeds)
 {
   this->world.config->limits.headerBytes = 1'024;
   this->world.config->limits.bodyBytes = 8;
   this->world.start();
-  RawSocket large = this->world.callerOf(
+  RawSocket large = this->world.sendRequest(
     "/once/", "id-1", "X-Long: " + std::string(4'000, 'h') + "\r\n");
   EXPECT_TRUE(has(large.readToEnd(), "431 "));
-  RawSocket body = this->world.callerOf("/once/", "id-1", "", "123456789");
+  RawSocket body = this->world.sendRequest("/once/", "id-1", "", "123456789");
   EXPECT_TRUE(has(body.readToEnd(), "413 "));
   RawSocket nonsense = this->world.caller();
   nonsense.send("nonsense\r\n\r\n");
   EXPECT_TRUE(has(nonsense.readToEnd(), "400 "));
 }
 
-TEST_F(RelayLoopTest, AHeadThatDoesNotArriveIsGivenUp)
+TEST_F(RelayLoopTest, AnIncompleteHeadTimesOut)
 {
   this->world.config->limits.headerTimeout = std::chrono::milliseconds{ 50 };
   this->world.start();
@@ -491,10 +493,10 @@
   EXPECT_TRUE(has(caller.readToEnd(), "408 Request Timeout"));
 }
 
-TEST_F(RelayLoopTest, AStoppingRelayEndsItsConnectionsAfterTheirAnswers)
+TEST_F(RelayLoopTest, AStoppingRelayClosesConnectionsAfterTheirAnswers)
 {
-  // The relay was told to stop while a stream was under way: the stream comes
-  // whole, its connection ends, and what comes later is refused as not run.
+  // The relay is stopped during a stream. The stream must complete, then its
+  // connection closes; later requests are refused as not run.
   this->world.addReplica("one", "model", this->one.address());
   this->world.start();
   RawSocket caller = this->world.caller();
@@ -507,115 +509,115 @@
   EXPECT_TRUE(has(caller.readUntil("id: 1"), "Connection: close\r\n"));
   replica.send(RelayWorld::event(2) + RelayWorld::kLastChunk);
   EXPECT_TRUE(has(caller.readToEnd(), "0\r\n\r\n"));
-  this->world.shared.refusing = true;
+  this->world.shared.refusesRequests = true;
   other.send(RelayWorld::request("/once/x", "id-2"));
   EXPECT_TRUE(has(other.readToEnd(), "503 Service Unavailable"));
 }
 
-TEST_F(RelayLoopTest, ATimeoutBeforeTheAnswerIsToldAtOnce)
+TEST_F(RelayLoopTest, ATimeoutBeforeTheAnswerIsReportedAtOnce)
 {
   this->world.addReplica("one", "plain", this->one.address());
   this->world.start();
   RawSocket caller =
-    this->world.callerOf("/once/x", "id-1", "X-Deadline: 60\r\n");
+    this->world.sendRequest("/once/x", "id-1", "X-Deadline: 60\r\n");
   RawSocket replica = this->one.accept();
   replica.readUntil("\r\n\r\n");
   EXPECT_TRUE(has(caller.readUntil("\r\n\r\n"), "504 Gateway Timeout"));
   EXPECT_EQ(replica.readToEnd(), "");
 }
 
-TEST(RelayPeers, AReplicaThatAnotherRelayKnowsToLeaveGetsNoNewWork)
+TEST(RelayPeers, AReplicaReportedAsDrainingGetsNoNewWork)
 {
-  // One relay's look at the list hangs: it still has a replica as ready that
-  // has said since that it leaves. Another relay has the newer list and tells
-  // so. A caller of the first relay is served by the replica that stays.
-  RawListener leaving;
-  RawListener staying;
-  RelayWorld knows;
-  RelayWorld behind;
-  for (RelayWorld* world : { &knows, &behind }) {
-    world->addReplica("one", "plain", leaving.address());
+  // One relay's poll of the list hangs, so its list still shows a draining
+  // replica as ready. Another relay has the newer list and reports the drain. A
+  // caller of the first relay must be served by the other replica.
+  RawListener drainingListener;
+  RawListener readyListener;
+  RelayWorld upToDate;
+  RelayWorld outdated;
+  for (RelayWorld* world : { &upToDate, &outdated }) {
+    world->addReplica("one", "plain", drainingListener.address());
     world->start();
   }
-  knows.replicas["one"].draining = true;
-  knows.publishReplicas(7);
-  behind.addReplica("two", "plain", staying.address());
-  behind.replicas["two"].zone = "b";
-  behind.publishReplicas(2);
-  knows.shared.peers.replace(std::make_shared<const std::vector<Address>>(
-    std::vector<Address>{ behind.loop->peersAddress() }));
+  upToDate.replicas["one"].draining = true;
+  upToDate.publishReplicas(7);
+  outdated.addReplica("two", "plain", readyListener.address());
+  outdated.replicas["two"].zone = "b";
+  outdated.publishReplicas(2);
+  upToDate.shared.peers.replace(std::make_shared<const std::vector<Address>>(
+    std::vector<Address>{ outdated.loop->peersAddress() }));
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (behind.shared.listHeard < 7 && runtimeNow() < latest) {
+  while (outdated.shared.peerListVersion < 7 && runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  ASSERT_EQ(behind.shared.listHeard, 7U);
-  RawSocket caller = behind.callerOf("/once/x", "id-1");
-  RawSocket replica = staying.accept();
+  ASSERT_EQ(outdated.shared.peerListVersion, 7U);
+  RawSocket caller = outdated.sendRequest("/once/x", "id-1");
+  RawSocket replica = readyListener.accept();
   EXPECT_TRUE(has(replica.readUntil("\r\n\r\n"), "X-Expect: two\r\n"));
 }
 
-TEST(RelayPeers, WhatALookBroughtReachesTheRelaysOfTheZone)
+TEST(RelayPeers, ReplicaListUpdatesReachTheRelaysOfTheZone)
 {
-  // One relay's look finds that a replica leaves. The other does not look: it
-  // hears of it, with all that the entry says.
-  RelayWorld looks;
-  RelayWorld hears;
-  looks.start();
-  hears.start();
-  looks.shared.peers.replace(std::make_shared<const std::vector<Address>>(
-    std::vector<Address>{ hears.loop->peersAddress() }));
+  // One relay polls the list and finds a draining replica. The other relay does
+  // not poll: it must receive the entry with all its fields.
+  RelayWorld reader;
+  RelayWorld receiver;
+  reader.start();
+  receiver.start();
+  reader.shared.peers.replace(std::make_shared<const std::vector<Address>>(
+    std::vector<Address>{ receiver.loop->peersAddress() }));
   Replica replica;
   replica.registeredAs = "one";
-  replica.born = 7;
+  replica.startedAtMs = 7;
   replica.id = replicaId("one", 7);
   replica.address = { "127.0.0.1", 9 };
   replica.zone = "a";
   replica.kind = "fast";
   replica.layers = LayerRange{ 3, 5 };
   replica.draining = true;
-  ListNews told;
-  told.after = 4;
-  told.poll.next = 5;
-  told.poll.present.push_back(replica);
-  told.poll.gone = { "two" };
+  ReplicaListDelta delta;
+  delta.after = 4;
+  delta.poll.next = 5;
+  delta.poll.present.push_back(replica);
+  delta.poll.removed = { "two" };
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  std::vector<ListNews> heard;
-  while (heard.empty() && runtimeNow() < latest) {
-    // Told to relays that are heard; a word comes each 200 ms.
-    looks.shared.tellList(told);
+  std::vector<ReplicaListDelta> received;
+  while (received.empty() && runtimeNow() < latest) {
+    // Only known peers receive it; a status message is sent every 200 ms.
+    reader.shared.sendListDelta(delta);
     std::this_thread::yield();
-    heard = hears.shared.listInbox.take();
+    received = receiver.shared.listInbox.take();
   }
-  ASSERT_FALSE(heard.empty());
-  EXPECT_EQ(heard[0].after, 4U);
-  EXPECT_EQ(heard[0].poll.next, 5U);
-  EXPECT_EQ(heard[0].poll.gone, std::vector<std::string>{ "two" });
-  ASSERT_EQ(heard[0].poll.present.size(), 1U);
-  EXPECT_EQ(heard[0].poll.present[0], replica);
-}
-
-TEST(RelayPeers, ARelayWithoutTheStoreTakesOverAnothersProof)
-{
-  // One relay hears the store, the other does not. The second serves on with
-  // what the first tells, dated no later than the first can know.
-  RelayWorld hears;
-  RelayWorld deaf;
-  hears.start();
-  deaf.start(std::chrono::hours{ 1 });
-  const auto tell = [](RelayWorld& aFrom, const RelayWorld& aTo) {
+  ASSERT_FALSE(received.empty());
+  EXPECT_EQ(received[0].after, 4U);
+  EXPECT_EQ(received[0].poll.next, 5U);
+  EXPECT_EQ(received[0].poll.removed, std::vector<std::string>{ "two" });
+  ASSERT_EQ(received[0].poll.present.size(), 1U);
+  EXPECT_EQ(received[0].poll.present[0], replica);
+}
+
+TEST(RelayPeers, ARelayWithoutTheStoreAdoptsAnothersProof)
+{
+  // One relay reaches the store, the other does not. The second must adopt the
+  // freshness proof of the first, and not date it later than the first does.
+  RelayWorld connected;
+  RelayWorld cutOff;
+  connected.start();
+  cutOff.start(std::chrono::hours{ 1 });
+  const auto setPeer = [](RelayWorld& aFrom, const RelayWorld& aTo) {
     aFrom.shared.peers.replace(std::make_shared<const std::vector<Address>>(
       std::vector<Address>{ aTo.loop->peersAddress() }));
   };
-  tell(hears, deaf);
-  tell(deaf, hears);
-  // Bounded, so that a fault ends the test; a word comes each 200 ms.
+  setPeer(connected, cutOff);
+  setPeer(cutOff, connected);
+  // The limit ends a failing test; a status message is sent every 200 ms.
   const TimePoint latest = runtimeNow() + std::chrono::seconds{ 60 };
-  while (deaf.shared.freshness.age() > std::chrono::minutes{ 2 } &&
+  while (cutOff.shared.freshness.age() > std::chrono::minutes{ 2 } &&
          runtimeNow() < latest) {
     std::this_thread::yield();
   }
-  EXPECT_LT(deaf.shared.freshness.age(), std::chrono::minutes{ 2 });
-  EXPECT_GE(deaf.shared.freshness.age(), hears.shared.freshness.age());
+  EXPECT_LT(cutOff.shared.freshness.age(), std::chrono::minutes{ 2 });
+  EXPECT_GE(cutOff.shared.freshness.age(), connected.shared.freshness.age());
 }
 
 } // namespace
