--- a/include/poplartrack/admit/AdmissionPolicy.h
+++ b/include/poplartrack/admit/AdmissionPolicy.h
@@ -33,8 +33,8 @@
   double deadlineMargin = 1.0;
   /** Shortest retry time that rejected callers receive. */
   Duration shortestRetryAfter = std::chrono::seconds{ 1 };
-  /** Bound of the least retry time, and of the random window that is added to
-   * it. */
+  /** Upper bound of the minimum retry time, and also of the random window that
+   * is added to it. */
   Duration longestRetryAfter = std::chrono::seconds{ 60 };
   /** Fraction of an account's limit that is split evenly between the entries
    * and needs no grant. */
--- a/include/poplartrack/relay/FleetCatchUp.inl.h
+++ b/include/poplartrack/relay/FleetCatchUp.inl.h
@@ -8,7 +8,7 @@
 namespace fleet_control {
 
 /** If another relay has had a newer version for this long, the poll in progress
- * is assumed not to return it. An answer of the store takes some ms. */
+ * is assumed not to return it. An answer of the store takes a few ms. */
 constexpr Duration kMaxLag = std::chrono::milliseconds{ 300 };
 
 /** A reported outage of the store is over when no relay has reported it for
@@ -57,8 +57,8 @@
   const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
   const bool storeUnavailable = now - outage < fleet_control::kOutageTimeout;
   if (!this->shared.polls) {
-    // The store readers' view of the store holds for this relay too, so that it
-    // doesn't query an unavailable store as well.
+    // This relay adopts what the store readers report about the store, so that
+    // it doesn't query an unavailable store as well.
     this->configReachable = !storeUnavailable;
     this->shared.configPollFailed = storeUnavailable;
   }
--- a/include/poplartrack/relay/FleetControl.inl.h
+++ b/include/poplartrack/relay/FleetControl.inl.h
@@ -89,9 +89,9 @@
 FleetControl<Store>::releaseLease()
 {
   this->stopping = true;
-  // Stops reporting that this relay holds the lease. Reported for the whole
-  // grace time, it would keep the other relays from polling the released lease:
-  // no layers would be placed for up to 9 s.
+  // Stops reporting that this relay holds the lease. If that were reported for
+  // the whole grace time, the other relays would not poll the released lease,
+  // and no layers would be placed for up to 9 s.
   this->shared.holdsLease = false;
   this->shared.releasedFence = this->placementFence.exchange(0);
   this->lease.release();
@@ -157,9 +157,9 @@
   }
   this->configFailures = 0;
   this->configCursor = poll.value().next;
-  // Set also while there is no configuration yet, as the first one arrives as a
-  // change like others. Reading repeatedly until then takes 85 calls a relay,
-  // half of all its calls in the first 30 s.
+  // Also set while there is no configuration yet: the first one is reported as
+  // a change, like any later one. Repeated reads until then would take 85 calls
+  // per relay, half of all its calls in the first 30 s.
   this->awaitsConfigChanges = true;
   return poll.value().config ? this->batchDelay() : Duration{ 0 };
 }
@@ -287,8 +287,8 @@
   }
   const TimePoint outage{ Duration{ this->shared.peersSawOutageAt.load() } };
   if (outage > this->peerOutageAt) {
-    // Entries expire in the store during an outage, although their replicas
-    // run: those that vanish now may come back.
+    // During an outage, entries expire in the store although their replicas
+    // still run. Entries that vanish now may come back.
     this->peerOutageAt = outage;
     this->inPeerOutage = true;
     this->replicaList.onUnreachable(outage);
--- a/include/poplartrack/relay/RelayLoop.h
+++ b/include/poplartrack/relay/RelayLoop.h
@@ -14,7 +14,7 @@
 /**
  * The thread that forwards requests. One epoll instance handles the
  * connections of callers, the connections to replicas and the datagrams between
- * relays. RequestGate, PathFinder, ReplicaHealth, LoadTracker and RetryBudget
+ * relays. RequestGate, PathFinder, ReplicaHealth, LoadTracker and RetryBudgets
  * make the decisions; the loop carries them out on its sockets.
  */
 class RelayLoop
--- a/src/admit/AccountShares.cpp
+++ b/src/admit/AccountShares.cpp
@@ -18,7 +18,7 @@
 /** Time constant of the smoothed demand, microseconds. */
 constexpr double kSmoothingMicros = 1e6;
 
-/** Returns the factor by which demand decays in a time. */
+/** Returns the factor by which demand decays over the given time. */
 double
 decay(Duration aPassed)
 {
--- a/src/admit/ConcurrencyLimit.cpp
+++ b/src/admit/ConcurrencyLimit.cpp
@@ -46,9 +46,9 @@
     this->probing = false;
   } else if (aInFlight >= kMinUtilization * this->current) {
     // Before the first standing queue the limit is a guess, and a low guess
-    // would reject requests without need, so it grows fast. After that, a step
-    // of the square root is small relative to a large limit and still leaves a
-    // small limit quickly.
+    // would reject requests without need, so it grows fast. After that it grows
+    // by its square root: this step is small relative to a large limit, and a
+    // small limit still grows quickly.
     this->current +=
       this->probing ? this->current / 2 : std::sqrt(this->current);
   }
--- a/src/admit/ModelGate.cpp
+++ b/src/admit/ModelGate.cpp
@@ -5,9 +5,9 @@
 namespace poplartrack {
 namespace {
 
-/** Fraction of the limit up to which each priority may fill it, so that more
- * urgent requests are admitted without waiting. A priority below its floor is
- * not held to this. */
+/** Each priority may fill the limit up to this fraction, so that more urgent
+ * requests are admitted without waiting. The fraction does not apply to a
+ * priority that is below its floor. */
 constexpr std::array<double, kPriorityCount> kPriorityCeilings{ 1.0,
                                                                 0.97,
                                                                 0.9 };
--- a/src/relay/CallerConnection.h
+++ b/src/relay/CallerConnection.h
@@ -33,7 +33,8 @@
   bool watchesWrite = false;
   /** The poller does not report readable bytes: too many are buffered. */
   bool readPaused = false;
-  /** The connection closes after the current answer, as its head says. */
+  /** The connection closes after the current answer; the head of the answer
+   * says so. */
   bool closeWhenAnswered = false;
   /** The connection closes once all of output is written. */
   bool closeAfterOut = false;
--- a/src/relay/PeerStatus.h
+++ b/src/relay/PeerStatus.h
@@ -130,9 +130,9 @@
   bool holdsLease = false;
   /** Counts for the retry budgets, by service. */
   std::vector<RetryRow> retries;
-  /** Bytes sent over zone links since the start of the sender. */
+  /** Kilobytes sent over zone links since the start of the sender. */
   std::vector<LinkRow> links;
-  /** Fencing token of the placement lease that the sender held and released; 0
+  /** Fencing number of the placement lease that the sender held and released; 0
    * if none. */
   std::uint64_t releasedFence = 0;
   /** Recent crashes of replicas under requests, as known to the sender. */
--- a/src/relay/RelayAdmission.cpp
+++ b/src/relay/RelayAdmission.cpp
@@ -16,7 +16,7 @@
 
 /** Maximum wait of a request for the configuration and the replica list of a
  * relay that has just started. Reading both takes 0.2 s on the smallest
- * instance. Callers give up a request that has not been read after 1 s. */
+ * instance. Callers give up after 1 s if their request has not been read. */
 constexpr Duration kMaxStartupWait = std::chrono::milliseconds{ 700 };
 
 /** Parses a non-negative integer at the start of a header value. */
--- a/src/relay/RelayAnswer.cpp
+++ b/src/relay/RelayAnswer.cpp
@@ -18,8 +18,8 @@
 /** Maximum number of attempts for one request, including refused ones. */
 constexpr int kMaxSends = 4;
 
-/** The same for a stream of which the caller has received a part. When a zone
- * is lost, several copies of the model are short of memory at once, and each
+/** The same for a stream that the caller has received in part. When a zone is
+ * lost, several copies of the model are short of memory at once, and each
  * refuses the stream. */
 constexpr int kMaxStreamSends = 8;
 
@@ -285,8 +285,9 @@
     faulty = reported != nullptr ? reported->id : faulty;
   }
   const bool hasPath = !aExchange.path.parts.empty();
-  // Work that reached no replica at one part of its path for the whole stall
-  // timeout also comes back as refused. That replica is dead, not full.
+  // A request is also answered as refused if the replica of one part of its
+  // path could not be reached for the whole stall timeout. That replica is
+  // dead, not full.
   const bool stalled =
     hasPath && this->now - aExchange.sentAt >= this->settings.stall * 3 / 4;
   this->health.onFailure(faulty,
--- a/src/relay/RelayChoice.cpp
+++ b/src/relay/RelayChoice.cpp
@@ -44,8 +44,8 @@
     kTransferShare * objectiveMs / std::max(transfer, 1e-3), kMaxCrossings));
 }
 
-/** Parses a comma-separated list of numbers; a token that is no number yields
- * 0. */
+/** Parses a comma-separated list of numbers; an item that is not a number
+ * yields 0. */
 std::vector<double>
 parseNumbers(std::string_view aText)
 {
--- a/src/relay/RelayCrashes.cpp
+++ b/src/relay/RelayCrashes.cpp
@@ -52,10 +52,10 @@
 }
 
 /**
- * Returns whether a replica has certainly exited or restarted: it is not in the
- * replica list, or two relays cannot reach it. One relay is not enough, since
- * it may be cut off itself, and requests that break off then are not
- * responsible.
+ * Returns whether a replica has certainly exited or restarted: its restart has
+ * been detected, it is not in the replica list, or two relays cannot reach it.
+ * One relay is not enough, since it may be cut off itself, and requests that
+ * break off then are not responsible.
  */
 bool
 RelayLoop::Impl::hasExited(const std::string& aReplica) const
@@ -93,8 +93,8 @@
   this->crashWatch.expire(this->now);
 }
 
-/** Handles that a request has come into quarantine. aOwn: by a crash that this
- * relay has entered. */
+/** Handles that a request has been put into quarantine. aOwn: this relay itself
+ * saw the crash that led to it. */
 void
 RelayLoop::Impl::beginQuarantine(const Fingerprint& aRequest, bool aOwn)
 {
@@ -148,7 +148,7 @@
   for (const std::uint64_t id : pending) {
     const auto found = this->exchanges.find(id);
     if (found == this->exchanges.end()) {
-      // It ended together with another exchange of this loop.
+      // It ended while an earlier request of this list was handled.
       continue;
     }
     Exchange& exchange = *found->second;
@@ -157,7 +157,8 @@
   }
 }
 
-/** Returns how long the request stays in quarantine; empty if it is in none. */
+/** Returns how long the request stays in quarantine, or nullopt if it is not in
+ * quarantine. */
 std::optional<Duration>
 RelayLoop::Impl::quarantineLeft(Exchange& aExchange) const
 {
--- a/src/relay/RelayDraining.cpp
+++ b/src/relay/RelayDraining.cpp
@@ -57,7 +57,8 @@
   });
 }
 
-/** Detects replicas whose endpoint is listed with a later start time. */
+/** Detects restarted replicas: the latest list has another id for the name
+ * under which they are registered. */
 void
 RelayLoop::Impl::detectRestarts(const ReplicaView& aLatest)
 {
--- a/src/relay/RelayExchange.cpp
+++ b/src/relay/RelayExchange.cpp
@@ -13,8 +13,8 @@
  * second when the SYN packet is lost. */
 constexpr Duration kConnectTimeout = std::chrono::milliseconds{ 400 };
 
-/** Another relay is expected to serve callers that this one refuses if it
- * reported a recent freshness proof no longer ago than this. */
+/** Callers that this relay refuses are expected to be served by another one if
+ * another relay has reported a recent freshness proof within this time. */
 constexpr Duration kMaxPeerProofAge = std::chrono::milliseconds{ 1'000 };
 
 /** Hash of a request id, used as jitter for the retry advice: it needs no
--- a/src/relay/RelayLimits.cpp
+++ b/src/relay/RelayLimits.cpp
@@ -8,7 +8,8 @@
 namespace poplartrack {
 namespace {
 
-/** Parses a non-negative finite decimal number; empty if the text is none. */
+/** Parses a non-negative finite decimal number; nullopt if the text is not one.
+ */
 std::optional<double>
 parseDecimal(std::string_view aText)
 {
--- a/src/relay/RelayLoop.cpp
+++ b/src/relay/RelayLoop.cpp
@@ -11,7 +11,8 @@
 namespace poplartrack {
 namespace {
 
-/** Keys of the sockets in the poller. kWaitQueueTimerKey is the next one. */
+/** Keys of the listener and of the datagram socket in the poller. The next key
+ * is kWaitQueueTimerKey. */
 constexpr std::uint64_t kListenerKey = 1;
 constexpr std::uint64_t kPeersKey = 2;
 /** First id of a connection or exchange; smaller ones are fixed keys. */
--- a/src/relay/RelayPeers.cpp
+++ b/src/relay/RelayPeers.cpp
@@ -225,7 +225,7 @@
 /** Adds the sender of a status message to the list of relays. A relay that
  * started later is not on this relay's list yet, but has this one on its own.
  * Until all relays know each other, each polls the lease and the configuration
- * more often: that took a third of the store calls in the first 10 s. */
+ * more often. These polls were a third of the store calls in the first 10 s. */
 void
 RelayLoop::Impl::addUnlistedPeer(const Address& aSender)
 {
--- a/src/relay/RelayRepair.cpp
+++ b/src/relay/RelayRepair.cpp
@@ -46,9 +46,9 @@
  * While the first replica of the path lives, it is ordered to use another path.
  * The replicas that both paths share keep their KV cache, and only the new ones
  * prefill the tokens so far. This is quick within one zone. Across zones, the
- * activations of all these tokens take the shared link, and a replica is lost
- * to some seventy streams at once: such streams stalled for 1.1 s (median of
- * those that moved at all). A new attempt at a complete copy in another zone
+ * activations of all these tokens take the shared link, and about seventy
+ * streams lose the same replica at once: such streams stalled for 1.1 s (median
+ * of those that moved at all). A new attempt at a complete copy in another zone
  * continues the stream within about 0.3 s and uses up one attempt.
  */
 void
@@ -86,10 +86,10 @@
   const bool mayResume = aExchange.route->resumable &&
                          aExchange.runs + 1 < aExchange.route->attempts;
   // Only a few planned moves happen at a time, so they may cross a link. They
-  // don't use up the attempt, which is needed if the first replica drains: no
-  // other path can replace it. When six replicas are released one after the
-  // other, a stream may meet two draining replicas, and the second one would
-  // break it off.
+  // don't use up the attempt. It is needed if the first replica drains, because
+  // no other path can replace that one. When a release drains six replicas one
+  // after the other, a stream may meet two draining replicas, and the second
+  // one would break it off.
   const bool preferResume = !target || !aPlanned;
   // Without retry budget the request keeps its attempt: the lost layers are
   // available again in its zone after about one second, and the first replica
--- a/src/relay/RelayStall.cpp
+++ b/src/relay/RelayStall.cpp
@@ -20,8 +20,9 @@
 constexpr Duration kMinStallTimeout = std::chrono::milliseconds{ 100 };
 constexpr Duration kMaxStallTimeout = std::chrono::milliseconds{ 900 };
 
-/** The same for an attempt through a replica that is known to be lost, which is
- * then moved. Other relays may report the loss before this one notices it. */
+/** Stall factor and lower bound for an attempt through a replica that is known
+ * to be lost. Such an attempt is moved when it stalls. Other relays may report
+ * the loss before this one notices it. */
 constexpr int kLostPathStallFactor = 2;
 constexpr Duration kMinLostPathStallTimeout = std::chrono::milliseconds{ 60 };
 
@@ -34,8 +35,8 @@
 constexpr Duration kMinReportInterval = std::chrono::milliseconds{ 90 };
 
 /** The same for the other replicas of a stalled stream's path, and for slow
- * replicas: a replica stays slow for seconds, and each report is a priced call.
- */
+ * replicas: a replica stays slow for seconds, and each report is a call that
+ * has a price. */
 constexpr Duration kMinPathReportInterval = std::chrono::milliseconds{ 1'000 };
 
 /** Reports are requested repeatedly while a replica is this many times slower
@@ -132,9 +133,9 @@
     });
 }
 
-/** Requests reports from all replicas on the path of one stalled stream of this
- * first replica. The first replica reported no stalled work, so another replica
- * of the path may be slow, which only its own report shows. */
+/** Requests reports from all replicas on the path of one stalled stream whose
+ * path begins at aFirst. That replica reported no stalled work, so another
+ * replica of the path may be slow, and only its own report shows this. */
 void
 RelayLoop::Impl::requestPathReports(const std::string& aFirst)
 {
@@ -207,8 +208,8 @@
   }
 }
 
-/** Returns whether a stream of this first replica has made progress since the
- * last report request. */
+/** Returns whether a stream whose path begins at this replica has made progress
+ * since the last report request. */
 bool
 RelayLoop::Impl::hasRecentProgress(const std::string& aReplica) const
 {
--- a/src/relay/RelayWaiting.cpp
+++ b/src/relay/RelayWaiting.cpp
@@ -13,8 +13,9 @@
 
 /** Maximum wait of a request for a path with enough memory; twice the latency
  * objective if that is shorter. Callers give up a stream without an event after
- * four objectives, and the prefill is still to come. Callers rejected sooner
- * retry once, too late, and are rejected again. */
+ * four objectives, and the prefill is still to come. Rejecting callers sooner
+ * does not help: they retry only once, the retry comes too late, and it is
+ * rejected again. */
 constexpr Duration kMaxQueueWait = std::chrono::milliseconds{ 1'200 };
 
 } // namespace
--- a/src/retry/CrashLedger.cpp
+++ b/src/retry/CrashLedger.cpp
@@ -6,19 +6,18 @@
 namespace poplartrack {
 namespace {
 
-/** Number of replicas that crash just after they began to run a request at
- * which it is put into quarantine. One crash involves every request at that
- * replica; few of them are by chance also at the start when a second replica
- * crashes. */
+/** A request is put into quarantine when this many replicas have crashed just
+ * after they began to run it. One crash involves every request at that replica;
+ * few of them are by chance also at the start when a second replica crashes. */
 constexpr std::size_t kEarlyCrashLimit = 2;
 
-/** Number of replicas that crash at any time while they run a request at which
- * it is put into quarantine. */
+/** A request is put into quarantine when this many replicas have crashed at any
+ * time while they ran it. */
 constexpr std::size_t kCrashLimit = 3;
 
-/** Number of crashed replicas from which on no trial run is allowed. It bounds
- * how many replicas one request can crash in all, however many callers send it.
- */
+/** No trial run of a request is allowed once this many replicas have crashed
+ * under it. This bounds how many replicas one request can crash in all, however
+ * many callers send it. */
 constexpr std::size_t kTrialCrashLimit = 5;
 
 /** How long a quarantine lasts. By then the replicas may run another version,
--- a/src/retry/SharedRetryBudget.cpp
+++ b/src/retry/SharedRetryBudget.cpp
@@ -14,10 +14,9 @@
  * slack. */
 constexpr Duration kPeerTimeout = std::chrono::seconds{ 2 };
 
-/** Number of slices before the current one whose counts, like those of the
- * current one, are taken as not yet received by the other relays. With a window
- * of 10 s they span at least half a second, in which two status messages are
- * sent. */
+/** The counts of the current slice and of this many slices before it are
+ * assumed not to have reached the other relays yet. With a window of 10 s these
+ * slices span at least half a second, in which two status messages are sent. */
 constexpr std::int64_t kUnreportedSlices = 1;
 
 /** Part of the usable bound that retries of each RetryPriority may take, in the
