--- a/src/config/ConfigKeeperFetch.cpp
+++ b/src/config/ConfigKeeperFetch.cpp
@@ -12,7 +12,8 @@
 /** Most peers asked in one round of the start, unless more are known to have
  * a later revision. */
 constexpr std::size_t kMaxPeersPerStartRound = 5;
-/** Keeps the shift of the backoff in range. */
+/** Maximum number of times that the backoff is doubled, so that the factor does
+ * not overflow. */
 constexpr std::uint32_t kMaxBackoffDoublings = 16;
 
 } // namespace
--- a/src/config/RevisionDocument.cpp
+++ b/src/config/RevisionDocument.cpp
@@ -56,8 +56,8 @@
     }
     aPath.remove_prefix(slash + 1);
     const std::string_view name = aPath.substr(0, aPath.find('/'));
-    // Names of settings contain no '/' or '~', which JSON Pointer escapes with
-    // '~'. After an escaped name, everything is read again.
+    // JSON Pointer escapes '/' and '~' in a name with '~'. Names of settings
+    // contain neither, so after a name with '~' everything is read again.
     this->everything =
       this->everything || name.find('~') != std::string_view::npos;
     names->emplace(name);
--- a/src/config/TomlDocument.cpp
+++ b/src/config/TomlDocument.cpp
@@ -60,7 +60,8 @@
   std::uint32_t line = 0;
   std::string description;
 
-  /** Whether the error is a duplicate key or table; the library's text says. */
+  /** Returns whether the error is a duplicate key or table, which only the
+   * library's message tells. */
   [[nodiscard]] bool isRedefinition() const
   {
     return this->description.find("redefin") != std::string::npos;
@@ -185,7 +186,7 @@
 
 /**
  * Blanks a line with an error so that the rest can be parsed. Returns false if
- * the line is neither a header nor holds a '=': the caller then stops
+ * the line is not a header and contains no '=': the caller then stops
  * parsing, since blanking one line of a value that spans several does not help.
  */
 bool
--- a/src/config/TomlGuard.h
+++ b/src/config/TomlGuard.h
@@ -21,8 +21,8 @@
  *
  * - a name after '[': without one it fails an assertion, or, with assertions
  *   off, continues unchecked;
- * - only ASCII outside of strings and comments: its test whether a letter such
- *   as U+00F8 is white space reaches code marked as unreachable;
+ * - only ASCII outside of strings and comments: when it tests whether a letter
+ *   such as U+00F8 is white space, it reaches code marked as unreachable;
  * - valid UTF-8.
  *
  * The fuzz target found each of these. Rejecting such lines before parsing is
--- a/src/fleet/CopySplit.cpp
+++ b/src/fleet/CopySplit.cpp
@@ -17,8 +17,8 @@
  * continue through another one of the same zone without a new attempt. */
 constexpr double kMinSplitCopyFraction = 0.5;
 
-/** Fractions of the token target for which copies of the fewest replicas are
- * tried. */
+/** Fractions of the token target. For each of them, a split is tried whose
+ * copies have the fewest replicas that keep memory for that many tokens. */
 constexpr std::array<double, 6> kFractionsTried{ 0.5, 0.6, 0.7, 0.8, 0.9, 1.0 };
 
 /** Returns the accelerators at the given indexes. */
--- a/src/fleet/FasterRange.cpp
+++ b/src/fleet/FasterRange.cpp
@@ -29,7 +29,8 @@
     const std::uint32_t last = std::min(layers, from + aMaxLayers);
     for (std::uint32_t to = from + 1; to <= last; ++to) {
       gain += gainAt(to - 1);
-      // Strictly more: the range never ends with a layer that gains nothing.
+      // Only a strictly larger gain counts, so that the range never ends with a
+      // layer that gains nothing.
       if (gain > mostGain) {
         mostGain = gain;
         best = LayerRange{ from, to };
--- a/src/fleet/LayerCopy.h
+++ b/src/fleet/LayerCopy.h
@@ -89,7 +89,8 @@
   return gaps;
 }
 
-/** Returns the last boundary of a member's range at or before a layer. */
+/** Returns the last layer, not after aLayer, at which the range of some member
+ * begins or ends; 0 if there is none. */
 template<typename Group>
 std::uint32_t
 boundaryBefore(const Group& aGroup, std::uint32_t aLayer)
--- a/src/fleet/LayerGap.cpp
+++ b/src/fleet/LayerGap.cpp
@@ -36,8 +36,9 @@
   return free / (aProfile.tokenLayerMb() * aLayers);
 }
 
-/** Returns the members whose layers end where a gap begins and begin where it
- * ends. Of several it returns the one with memory for the most tokens. */
+/** Returns the member whose layers end where a gap begins and the member whose
+ * layers begin where the gap ends. If several members qualify, returns the one
+ * that has memory for the most tokens when it holds one more layer. */
 LayerPlanner::Neighbours
 LayerPlanner::neighboursOf(const EngineProfile& aProfile,
                            Group& aGroup,
@@ -133,7 +134,8 @@
 /** Assigns a gap to members without layers, as much to each as it has memory
  * for. If there is only one and the gap is too large for it, the neighbours of
  * the gap take the remainder. Where several zones share the layers, a member
- * that can fill a gap of its zone that includes this one fills that instead. */
+ * instead fills the gap of its own zone that includes this one, if it has
+ * memory for that gap. */
 void
 LayerPlanner::fillGap(const EngineProfile& aProfile,
                       Group& aGroup,
@@ -179,11 +181,11 @@
 
 /**
  * Extends the neighbours of a gap over it. The layers that they hold stay in
- * service meanwhile, and only the layers of the gap are loaded, which takes
- * less than a second for five. A replica that must release layers is instead
- * missing until the last answer that passes through them ends, 5 s or more.
- * Does nothing if the neighbours cannot fill the whole gap: paths cross zones
- * for those layers either way.
+ * service meanwhile, and only the layers of the gap are loaded; five layers
+ * load in less than a second. By contrast, a replica that must release layers
+ * is missing until the last answer that passes through them ends, for 5 s or
+ * more. Does nothing if the neighbours cannot fill the whole gap: paths cross
+ * zones for those layers either way.
  */
 void
 LayerPlanner::extendNeighbours(const EngineProfile& aProfile,
@@ -238,8 +240,8 @@
 /**
  * Moves a redundant member to a gap that the neighbours cannot fill. The
  * replica is missing until the last answer through it ends, but others hold its
- * layers. Otherwise a zone that lacks a few layers stays out of service
- * although some of its replicas only duplicate others.
+ * layers. Without the move, a zone that lacks a few layers would stay out of
+ * service although some of its replicas only duplicate others.
  */
 void
 LayerPlanner::moveRedundantMember(const EngineProfile& aProfile,
--- a/src/fleet/LayerPartition.cpp
+++ b/src/fleet/LayerPartition.cpp
@@ -68,9 +68,9 @@
 /** Steps between the least and the most token capacity that are tried. */
 constexpr int kCapacitySteps = 14;
 
-/** Cost of a member with the most layers that it may get, in layers loaded.
- * Loading a layer takes a fraction of a second once, whereas too little memory
- * causes refusals as long as the partition lasts. */
+/** Penalty for a member that gets the most layers that it may have, as a number
+ * of layers to load. Loading a layer takes a fraction of a second once, whereas
+ * too little memory causes refusals as long as the partition lasts. */
 constexpr double kFullMemberCostLayers = 6;
 
 /** Returns the cost of giving a member the layers [aFrom, aTo): the layers that
@@ -208,8 +208,8 @@
                   const std::vector<RepartitionMember>& aMembers)
 {
   // Dynamic programming. best[i][b] is the least cost at which the first i
-  // members cover [0, b); start[i][b] is where the range of the last one
-  // begins.
+  // members cover [0, b); start[i][b] is where the range of the last of
+  // these members begins.
   constexpr double kInfinity = std::numeric_limits<double>::infinity();
   const std::size_t count = aMembers.size();
   std::vector<std::vector<double>> best(
--- a/src/fleet/LayerRepair.cpp
+++ b/src/fleet/LayerRepair.cpp
@@ -15,8 +15,9 @@
 
 /** Extended replicas shrink until they keep memory for this fraction of the
  * token target. It has to stay below the 0.5 that zones with several copies are
- * laid out for. Above that, their replicas would count as extended, because the
- * other copy holds the same layers, and would release layers again. */
+ * laid out for. With a larger fraction, the replicas of such zones would count
+ * as extended, because another copy holds the same layers, and would release
+ * layers again. */
 constexpr double kShrinkFraction = 0.45;
 
 /** A copy that is partitioned again keeps memory for at least this fraction of
@@ -28,9 +29,9 @@
 
 /** Removes layers from an extended replica once others of its zone hold them
  * again: memory for requests is worth more than a second replica with the same
- * layers. Only a replica that carries no requests shrinks. One that does would
- * refuse all work until the last answer through the released layers ends, and
- * its zone would be out of service as long. */
+ * layers. Only a replica that carries no requests shrinks. A replica that does
+ * carry requests would refuse all work until the last answer through the
+ * released layers ends, and its zone would be out of service for that time. */
 void
 LayerPlanner::shrink(const EngineProfile& aProfile,
                      Group& aGroup,
@@ -73,9 +74,9 @@
  * Returns whether a copy with gaps is partitioned again: nothing else is under
  * way to complete it, and the remaining replicas have enough memory. Replicas
  * that move are missing until the last answers through them end, but only paths
- * that cross zones use them. Otherwise a zone whose gap is too large for its
- * neighbours stays out of service, and the other zones have too little memory
- * for its callers.
+ * that cross zones use them. Without a new partition, a zone whose gap is too
+ * large for the neighbours of the gap would stay out of service, and the other
+ * zones have too little memory for its callers.
  */
 bool
 LayerPlanner::shouldRepartition(const EngineProfile& aProfile, Group& aGroup)
@@ -118,9 +119,9 @@
 
 /**
  * Assigns layers that its zone lacks to an empty replica, where several zones
- * share the layers. As a rule they are those that its predecessor held. If the
- * replica duplicated other layers instead, each layer would still be held in
- * some zone, but paths would have to cross twice for the lost ones.
+ * share the layers. As a rule, a replica that the zone lost held them. If the
+ * new replica duplicated other layers instead, each layer would still be held
+ * in some zone, but paths would have to cross twice for the lost layers.
  *
  * Picks the largest gap of the zone that the replica can fill, or the largest
  * of all if it can fill none. With aMissing, only gaps count that the replica
--- a/src/fleet/LayerSpeed.cpp
+++ b/src/fleet/LayerSpeed.cpp
@@ -54,7 +54,7 @@
 
 /**
  * Assigns layers that only slower replicas hold to an empty replica. As a rule
- * they are those of its fast predecessor, which slow replicas have replaced.
+ * a fast replica held them before it was lost and slow replicas took them over.
  * If memory alone decided, a returning fast accelerator would duplicate layers
  * of other fast ones, and the zone would keep using slow ones. Returns false if
  * no layer gets faster.
--- a/src/fleet/PartialCopies.cpp
+++ b/src/fleet/PartialCopies.cpp
@@ -13,8 +13,8 @@
 
 using Kinds = std::vector<const AcceleratorKind*>;
 
-/** Token capacities that are tried, as fractions of the token target. The least
- * is for fleets that just hold the model. */
+/** Token capacities that are tried, as fractions of the token target. The
+ * smallest is for fleets whose memory barely holds the model. */
 constexpr std::array<double, 5> kFractionsTried{ 0.03, 0.07, 0.15, 0.3, 0.6 };
 
 /** Number of steps in which the first layer of a zone is moved through the
@@ -22,7 +22,8 @@
  * middle. */
 constexpr std::uint32_t kOffsetsTried = 8;
 
-/** How often the layout of each zone is chosen, given those of the others. */
+/** Number of rounds. In each round, the layout of every zone is chosen again,
+ * given the current layouts of the other zones. */
 constexpr int kPlacementRounds = 2;
 
 /** Most zones whose layouts are chosen together. The work grows with the fourth
--- a/src/fleet/PartialCopies.h
+++ b/src/fleet/PartialCopies.h
@@ -32,7 +32,8 @@
  * the positions of the missing ranges are those with which the zones carry the
  * most requests together.
  *
- * A zone that just holds a whole copy keeps it where that carries more.
+ * A zone that can barely hold a whole copy gets one if the zones then carry
+ * more requests together.
  *
  * @param aZones the accelerators of each zone, fast ones first
  */
--- a/src/fleet/PathFinder.cpp
+++ b/src/fleet/PathFinder.cpp
@@ -24,14 +24,14 @@
  * inside an availability zone. */
 constexpr double kHopMs = 0.2;
 
-/** Cost of a path that begins outside this relay's availability zone, in ms of
- * the whole answer. The events of such an answer cross zones. Without this
- * cost, all relays would also crowd into the fastest zone, and its loss would
- * hit every request. */
+/** Cost of a path that begins outside this relay's availability zone, in ms,
+ * added once to the cost of the whole answer. The events of such an answer
+ * cross zones. Without this cost, all relays would also crowd into the fastest
+ * zone, and its loss would hit every request. */
 constexpr double kRemoteStartMs = 300.0;
 
-/** Cost of a zone crossing beside its own time, as a multiple of the time for
- * which the prompt's activations occupy the shared link. One crossing costs
+/** Cost of a zone crossing in addition to its time, as a multiple of the time
+ * for which the prompt's activations occupy the shared link. One crossing costs
  * more than starting a path that lies entirely in another zone. If it cost
  * less, requests of a busy zone would start there and cross, and their tokens
  * would wait behind prompts. If paths crossed only when no complete copy has
@@ -42,10 +42,12 @@
 /** Weight of the time that prompts in prefill take before this one. Tokens of
  * running answers share the batches of a prefill, so two long prompts at once
  * delay every stream of a copy beyond the pauses that callers accept. With this
- * weight, a request goes to another zone's copy instead. */
+ * weight, a request goes to another zone's copy instead. The wait for a zone
+ * link has the same weight. */
 constexpr double kBacklogWeight = 8.0;
 
-/** The best path found that covers the layers before one (layer, zone). */
+/** The best path found so far to one (layer, zone). It covers all layers before
+ * that layer. */
 struct PartialPath
 {
   double cost = kUnreached;
@@ -294,8 +296,8 @@
 }
 
 /** Returns whether the path to here already uses the replica. The engines
- * reject a path that names a replica twice. A path could return to one that has
- * memory for only some of its layers. */
+ * reject a path that names a replica twice. Without this check, a path could
+ * return to a replica that has memory for only some of its layers. */
 bool
 Search::uses(const PartialPath& aAt, const PathNode& aNode) const
 {
@@ -310,7 +312,8 @@
 }
 
 /** Returns whether the path may begin at the replica: at the given first
- * replica of a running request, otherwise where a slot is free. */
+ * replica of a running request, otherwise at each replica that may be the first
+ * of one more path. */
 bool
 Search::mayBeginAt(const PathNode& aNode) const
 {
--- a/src/fleet/ReplicaLimits.cpp
+++ b/src/fleet/ReplicaLimits.cpp
@@ -19,7 +19,8 @@
  * requests, no relay would learn that the limit is lifted. */
 constexpr double kMinPerSecond = 0.25;
 
-/** Maximum credit of a relay, in seconds of its part of the limit. */
+/** Maximum credit of a relay, in seconds of its part of the limit. The credit
+ * for one request is always allowed. */
 constexpr double kMaxCreditSeconds = 0.25;
 
 /** Without an answer, the turn passes to the next relays after kMinTurnSeconds,
--- a/src/fleet/ReplicaList.cpp
+++ b/src/fleet/ReplicaList.cpp
@@ -15,7 +15,7 @@
 /** A removal that is seen within this time of the first successful poll after
  * an outage counts as an entry that expired during the outage. Later removals
  * are replicas that drain, and work sent to them would exceed the time limit
- * for draining. The outage may also have been this relay's alone, in which no
+ * for draining. The outage may also have affected only this relay; then no
  * entry expired. */
 constexpr Duration kOutageWindow = std::chrono::milliseconds{ 600 };
 
--- a/src/fleet/StorePollSchedule.cpp
+++ b/src/fleet/StorePollSchedule.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/** Known peers that a relay needs to poll less often. */
+/** Number of known peers from which on a relay polls less often. */
 constexpr std::size_t kEnoughPeers = 2;
 
 /** Maximum wait of one configuration poll while too few peers are known. Its
@@ -28,9 +28,9 @@
  * poll continues where the previous one ended. */
 constexpr Duration kMaxWait = milliseconds{ 10'000 };
 
-/** The same two waits of a replica list poll; the first is also the maximum
- * wait while too few peers are known. A silent connection to the store is
- * noticed sooner, through the status messages of other relays. */
+/** The same two waits for polls of the replica list; the first is also the
+ * maximum wait while too few peers are known. A silent connection to the store
+ * is noticed sooner, through the status messages of other relays. */
 constexpr Duration kReplicasWait = milliseconds{ 4'000 };
 constexpr Duration kReplicasWaitPerRelay = milliseconds{ 450 };
 
@@ -48,10 +48,10 @@
  * replicas register: a longer pause collects more of them. */
 constexpr Duration kBatchDelayUnused = milliseconds{ 600 };
 
-/** Pauses between failed polls: the first one, which doubles up to the maximum.
- * While the store is unavailable, each poll is a wasted call. It does not
- * matter which relay first finds it available again, since the others learn of
- * it at once. */
+/** Pauses after failed polls: the first pause, and the maximum up to which each
+ * further pause is twice as long as the one before. While the store is
+ * unavailable, each poll is a wasted call. It does not matter which relay first
+ * finds it available again, since the others learn of it at once. */
 constexpr Duration kFirstRetryPause = milliseconds{ 250 };
 constexpr Duration kMaxRetryPause = milliseconds{ 1'500 };
 /** Maximum for a relay that knows too few peers. */
@@ -61,10 +61,10 @@
  * on a silent connection while no peer is known any more. A proof of this age
  * leaves time to get a newer one before keys are no longer trusted. */
 constexpr Duration kStaleProofAge = milliseconds{ 1'500 };
-/** A proof is also renewed this long before it reaches the age of the deadline
- * for a new configuration. This covers the proof read, the margin at which a
- * configuration without a recent proof is no longer used (300 ms), and the wait
- * between the threads' checks (200 ms). */
+/** A proof is also renewed this long before its age reaches the time within
+ * which a new configuration must be in force. This covers the proof read, the
+ * margin (300 ms) at which a configuration without a recent proof is no longer
+ * used, and the wait between the threads' checks (200 ms). */
 constexpr Duration kProofReadLead =
   StorePollSchedule::kProofReadTimeout + milliseconds{ 500 };
 /** Shortest time between two proof reads. */
--- a/src/place/PlacementStep.cpp
+++ b/src/place/PlacementStep.cpp
@@ -85,7 +85,8 @@
 PlacementStep::makeOrder(const EndpointInfo& aInfo, EndpointOrder aOrder)
 {
   ++this->lastOrder;
-  // When the order numbers are used up, the next lease starts with new ones.
+  // When the order numbers of this lease are used up, later calls of next()
+  // return no orders. The next lease starts to count again.
   this->stopped = this->stopped || this->lastOrder + 1 >= kMaxOrdersPerLease;
   aOrder.fence = orderFence(this->leaseFence, this->lastOrder);
   return { aInfo.name, aInfo.address, std::move(aOrder) };
--- a/src/route/EndpointEstimate.cpp
+++ b/src/route/EndpointEstimate.cpp
@@ -170,12 +170,12 @@
 }
 
 /**
- * Returns the factor by which an endpoint's cost exceeds its expected time.
- * With the time alone, each request would go to the fast endpoints until their
- * queues make them as slow as the slow ones: the slow ones would stay half
- * empty while requests queue elsewhere. The factor rises steeply when a batch
- * is nearly full, so that all endpoints fill up to nearly the same fraction of
- * their batch size.
+ * Returns the factor by which an endpoint's cost exceeds its expected time. If
+ * the cost were the time alone, each request would go to the fast endpoints
+ * until their queues make them as slow as the slow ones: the slow ones would
+ * stay half empty while requests queue elsewhere. The factor rises steeply when
+ * a batch is nearly full, so that all endpoints fill up to nearly the same
+ * fraction of their batch size.
  */
 double
 congestionFactor(const EndpointRecord& aRecord,
--- a/src/route/RouteFeedback.cpp
+++ b/src/route/RouteFeedback.cpp
@@ -17,9 +17,9 @@
 constexpr double kGapRatioRate = 0.002;
 constexpr double kMinGapRatio = 0.5;
 constexpr double kMaxGapRatio = 5;
-/** Gaps up to this multiple of the expected ones do not raise the slowness:
- * they are noise of the queues, and entries that learn from noise react to each
- * other. */
+/** Gaps up to this multiple of the expected ones, corrected by
+ * RouteChooser::gapRatio, do not raise the slowness: they are noise of the
+ * queues, and entries that learn from noise react to each other. */
 constexpr double kNoiseRatio = 1.5;
 /** Factor of one stall on the slowness of all stages together: during a stall
  * there are no tokens from which the slowness could be learnt. */
--- a/src/store/LeaseState.cpp
+++ b/src/store/LeaseState.cpp
@@ -14,7 +14,8 @@
  * without pause. */
 constexpr int kUnavailableRetryDivisor = 3;
 /** After a write with an uncertain outcome, the row is read after renewInterval
- * divided by this. The delay has the same reason. */
+ * divided by this. This delay, too, keeps calls from being repeated without
+ * pause. */
 constexpr int kUncertainRetryDivisor = 10;
 
 } // namespace
